--- a/aspenrill/api.py
+++ b/aspenrill/api.py
@@ -1,6 +1,6 @@
-"""The interface of aspenrill: what a gateway is told at start, what it hears, and what it may do.
+"""The interface of the decision module: its settings, the events that it processes, the actions it returns.
 
-All times are seconds (floats) on the caller's own clock, which never goes back.
+All times are seconds (floats) on the caller's clock, which must be monotonic.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Effect(Enum):
-    """What running a request twice does: nothing, nothing within its group and window, or harm."""
+    """What running a request twice does: no harm, none within its deduplication scope and window, or harm."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -31,17 +31,17 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the engine did not start the work."""
+        """Whether the outcome proves that the engine did not start the work."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
     @property
     def may_still_run(self) -> bool:
-        """True where the engine may be working on it still."""
+        """Whether the engine may still be working on it."""
         return self in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 class EngineState(Enum):
-    """What the engine list says of an engine."""
+    """The state of an engine in the engine list."""
 
     LIVE = "live"
     DRAINING = "draining"
@@ -49,7 +49,7 @@
 
 
 class ListMode(Enum):
-    """How a message of the engine list is to be read."""
+    """What the entries of a list update are: the changed ones, all, all as stored, or none (refused)."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -58,7 +58,7 @@
 
 
 class NoteKind(Enum):
-    """What a note on an attempt tells: share done, megabytes missing, or that it waits."""
+    """What a note on an attempt reports: share done, megabytes spilled to disk, or that it waits."""
 
     PROGRESS = 1
     SPILLS = 2
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class QueryClass:
-    """One class of requests. `aim` grows by `aim_stretch` x true work / threads."""
+    """One class of requests. Its latency target is `aim` + `aim_stretch` x work / threads, in seconds."""
 
     aim: float
     patience: float
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What a gateway is told at its start. A rule acts only where its figures are present."""
+    """The settings of a gateway. A rule applies only where its values are present."""
 
     classes: tuple[QueryClass, ...]
     cores_by_kind: tuple[int, ...]
@@ -98,8 +98,8 @@
     may_cancel: bool = False
     may_probe: bool = False
     may_tell: bool = False
-    tell_price: float = 0.0
-    probe_price: float = 0.0  # of the result, for one probe a request
+    tell_price: float = 0.0  # the same for one message of 256 bytes
+    probe_price: float = 0.0  # share of the result that one probe for each request costs
     shortage_pages: bool = False
     longest_come_back: float = 0.0
     grants_heeded: bool = False
@@ -120,7 +120,7 @@
     tenant_quotas: tuple[float, ...] = ()
 
     def validate(self) -> None:
-        """Raise ValueError naming the first field that cannot be used."""
+        """Raise ValueError with the name of the first invalid field."""
         if not self.classes:
             raise ValueError("classes: at least one class of requests is needed")
         if not self.cores_by_kind or min(self.cores_by_kind) < 1:
@@ -145,9 +145,9 @@
 
 @dataclass(frozen=True)
 class EngineEntry:
-    """One line of the engine list. `started` is 0 where the engine started long ago.
+    """One engine of the engine list. `started` is 0 where the engine started long ago.
 
-    `weight` is its share in choosing among those of its `tier` (RFC 2782); None says nothing of it.
+    `weight` sets its share of the requests within its `tier` (RFC 2782); None sets none.
     """
 
     engine: str
@@ -162,7 +162,7 @@
 
 @dataclass(slots=True)
 class ListUpdate:
-    """News of the engine list."""
+    """An update of the engine list."""
 
     mode: ListMode
     entries: tuple[EngineEntry, ...] = ()
@@ -170,7 +170,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request; the gateway now owes exactly one final answer."""
+    """A client's request. The gateway must give it exactly one final answer."""
 
     request: str
     cls: int
@@ -180,13 +180,13 @@
     memory_mb: float = 0.0
     work: float | None = None
     data_set: int | None = None
-    waited: float = 0.0  # seconds that the gateway's own program is behind
+    waited: float = 0.0  # seconds by which the gateway's own program is behind
     client_retry: bool = False
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """How an attempt finished. `closed`: the request is over, nothing is owed any more."""
+    """The end of an attempt. `closed`: the request has ended and needs no answer."""
 
     request: str
     attempt: int
@@ -201,7 +201,7 @@
 
 @dataclass(slots=True)
 class AttemptNote:
-    """Word on an attempt that is still out."""
+    """A note of the engine on an attempt in flight."""
 
     request: str
     attempt: int
@@ -212,7 +212,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer has begun; the attempt belongs to the client from here on."""
+    """The answer has begun to stream to the client, so the attempt cannot be repeated any more."""
 
     request: str
     attempt: int
@@ -221,14 +221,14 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client left; nothing is owed any more."""
+    """The client has disconnected; the request needs no answer."""
 
     request: str
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """What a probe brought back."""
+    """The end of a probe."""
 
     engine: str
     outcome: Outcome
@@ -238,7 +238,7 @@
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer set by the gateway has come due."""
+    """A timer that the gateway set is due."""
 
     name: str
 
@@ -253,7 +253,7 @@
 
 @dataclass(slots=True)
 class Closing:
-    """The gateway's program is about to end: every request gets its final answer now."""
+    """The process is about to exit: every request gets its final answer now."""
 
 
 Event = (
@@ -272,10 +272,10 @@
 
 @dataclass(slots=True)
 class Send:
-    """Hand the request to an engine. `timeout` 0: until the client quits.
+    """Send the request to an engine. `timeout` 0: until the client's deadline.
 
-    `begin_within`: seconds, from the decision, within which its first byte has to go out; later it is moot.
-    0: as long as the attempt is wanted.
+    `begin_within`: seconds from the decision within which the first byte must be sent, else the attempt ends
+    as not started. 0: no limit.
     """
 
     request: str
@@ -286,7 +286,7 @@
 
 @dataclass(slots=True)
 class SetTerms:
-    """Memory (0: the engine's choice) for the next attempt, priority also for attempts that are out."""
+    """Memory (0: the engine decides) for the next attempt; priority also for the attempt in flight."""
 
     request: str
     memory_mb: float
@@ -294,38 +294,40 @@
 
 
 class EndReason(Enum):
-    """Why a request was refused or failed, as the log tells it."""
+    """Why a request was refused or failed, as it is logged."""
 
-    PROGRAM_BEHIND = "program_behind"  # the front end's own program is late
-    ENTRY_GAP = "entry_gap"  # the rate ladder lets fewer in
-    TOO_LATE = "too_late"  # it cannot be answered on time
+    PROGRAM_BEHIND = "program_behind"  # the front end's own process is late
+    ENTRY_GAP = "entry_gap"  # the entry gap limits the rate
+    TOO_LATE = "too_late"  # it cannot be answered in time
     QUEUE_FULL = "queue_full"
     QUEUE_TIMEOUT = "queue_timeout"
-    DEADLINE = "deadline"  # its last attempt took all of its time
-    NO_FURTHER_ATTEMPT = "no_further_attempt"  # its effect, budget, engines or time allow none
+    DEADLINE = "deadline"  # its last attempt took the time that was left
+    NO_FURTHER_ATTEMPT = (
+        "no_further_attempt"  # its effect, the retry budget, the engines or the time permit none
+    )
     SHUTDOWN = "shutdown"
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused, the client may try again without harm, after `come_back` if given."""
+    """Final answer: refused. A repeat does no harm; `come_back` is a hint when, in seconds (0: none)."""
 
     request: str
     come_back: float = 0.0
-    reason: EndReason | None = field(default=None, compare=False)  # for the log alone
+    reason: EndReason | None = field(default=None, compare=False)  # only for the log
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, promising nothing about the effect."""
+    """Final answer: failed. The request may or may not have had its effect."""
 
     request: str
-    reason: EndReason | None = field(default=None, compare=False)  # for the log alone
+    reason: EndReason | None = field(default=None, compare=False)  # only for the log
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
@@ -333,14 +335,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask an engine for its load."""
+    """Probe an engine for its load report."""
 
     engine: str
 
 
 @dataclass(slots=True)
 class Tell:
-    """A message of at most 256 bytes to every other gateway; it may be lost."""
+    """Send a gossip message of at most 256 bytes to every other gateway; it may be lost."""
 
     data: bytes
 
@@ -352,7 +354,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerDue."""
+    """Request a `TimerDue` after `delay` seconds."""
 
     delay: float
     name: str
@@ -360,7 +362,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the people on call."""
+    """A line for the operator's log."""
 
     text: str
 
--- a/aspenrill/control.py
+++ b/aspenrill/control.py
@@ -1,4 +1,7 @@
-"""All decisions of a gateway. Interface: aspenrill/api.py. What acts when, and why: docs/design.md."""
+"""The decision module of a gateway: `Gateway.handle` turns one event into a list of actions.
+
+The interface is aspenrill/api.py; docs/design.md explains which rule acts when, and why.
+"""
 
 import math
 import random
@@ -6,46 +9,78 @@
 
 from . import api
 from .policy import Admission, Choice, Outcomes, Sending, View
-from .policy.figures import LOOK, NEWS_COST, PROBES, TICK, WATCH
-from .state import Fleet, Learned, Lines, Mix
+from .policy.figures import GOSSIP_COST, MAX_CANDIDATES, MAX_PROBES, QUEUE_CHECK_INTERVAL, WATCH
+from .state import ClassMix, ClassStats, Fleet, KeyQueues
 
-UNKNOWN, STALL = 1.5, 0.05  # slowdown until answers tell; own delay that refuses work of little worth
-PROBED = 0.03  # most points of the result that probes may cost: dear ones are earned by several requests
+# Slowdown of a large fleet that is assumed until answers show the true one.
+INITIAL_SLOWDOWN = 1.5
+# Seconds that the gateway's own program may be behind before it refuses the requests of least worth.
+BASE_PROGRAM_DELAY = 0.05
+# Upper bound of the share of the result that probes may cost. Where a probe costs much, several requests pay
+# for one.
+PROBE_RESULT_SHARE = 0.03
 
 
 def shed_after(settings: api.Settings) -> tuple[float, ...]:
-    """By class: how many seconds behind the gateway's own program may be and still take on new requests."""
+    """By class: the delay of the gateway's own program, in seconds, above which new requests are refused."""
     mean = max(1e-3, sum(c.worth for c in settings.classes) / len(settings.classes))
-    return tuple(STALL * (1 + c.worth / mean) for c in settings.classes)
+    return tuple(BASE_PROGRAM_DELAY * (1 + c.worth / mean) for c in settings.classes)
 
 
 class Gateway(View, Admission, Choice, Sending, Outcomes):
+    """The state of one gateway. It does no I/O and reads no clock: the caller passes time and events in."""
+
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         settings.validate()
-        self.set, self.now, self.random = settings, now, random.Random(seed)
-        self.classes = [Learned(c) for c in settings.classes]
+        self.set = settings
+        self.now = now
+        self.random = random.Random(seed)
+        self.classes = [ClassStats(c) for c in settings.classes]
         self.fleet = Fleet(settings.cores_by_kind, settings.memory_by_kind)
-        self.live, self.cold, self.ejected = [], [], []  # engines: live in the list; of these cold, ejected
-        self.queries, self.out, self.held = {}, {}, {}  # by request: not ended; attempt out; first come first
-        self.lines, self.key_rest = Lines(), {}  # ordered keys: who came, in order; until when a key rests
-        self.taken, self.extra, self.starts, self.entered, self.lost = (deque() for _ in range(5))  # times
-        self.rung, self.base_gap, self.next_entry, self.gap_until, self.look_at = 0, 0.0, 0.0, 0.0, now
-        self.thin = self.sparse = self.news = self.paging = False  # own threads say too little; others tell
-        self.ordinary = UNKNOWN if settings.gateways > LOOK else 1.0  # the fleet's slowdown
-        self.homes, self.mean_load, self.mean_at, self.part, self.freed = [], 0.0, now, 0.0, None
-        self.mix, self.shed_after, self.met = Mix(self.classes), shed_after(settings), {}  # met: told by own
-        self.readers_wait = any(c.waits_for_loads for c in settings.classes)
-        self.timer_at, self.list_retry, self.back_at = math.inf, math.inf, now
-        self.earned = min(PROBES, PROBED / max(1e-9, settings.probe_price))  # probes, by each request
-        self.probes, self.bytes = PROBES, 2 * NEWS_COST * self.random.random()  # earned by requests
+        # Engines: those that the list has as live, and among these the cold and the ejected ones.
+        self.live, self.cold, self.ejected = [], [], []
+        # Requests by id: all that have not ended, those with an attempt in flight, those queued (in order).
+        self.queries, self.out, self.held = {}, {}, {}
+        # Requests with an ordered key, in order of arrival, and until when a key is backed off.
+        self.key_queues, self.key_backoff_until = KeyQueues(), {}
+        # Moments of each kind, the oldest first.
+        self.arrival_times, self.retry_times, self.send_times, self.entry_times, self.loss_times = (
+            deque() for _ in range(5)
+        )
+        # The entry gap: its level, seconds between entries on level 1 before the growth by level.
+        self.rung = 0
+        self.base_gap = 0.0
+        self.next_entry_at = 0.0
+        self.gap_kept_until = 0.0
+        self.next_gap_check_at = now
+        # How the load of engines is known; see View._on_list.
+        self.uses_reported_load = self.uses_capacity_share = self.uses_gossip = self.may_page = False
+        self.ordinary = INITIAL_SLOWDOWN if settings.gateways > MAX_CANDIDATES else 1.0
+        self.affinity_engines = []
+        self.mean_load = 0.0
+        self.mean_load_at = now
+        self.capacity_share = 0.0  # in cores
+        self.freed_group = None  # slot group of the attempt that ended last
+        self.mix = ClassMix(self.classes)
+        self.shed_after = shed_after(settings)
+        self.recent_loads = {}  # engines that answered since the last gossip message, and when
+        self.readers_wait_for_loads = any(c.waits_for_loads for c in settings.classes)
+        self.timer_at = math.inf
+        self.list_retry_at = math.inf
+        self.resumed_at = now  # end of this process's last stall
+        # Probes that each request adds to the budget.
+        self.probes_per_request = min(MAX_PROBES, PROBE_RESULT_SHARE / max(1e-9, settings.probe_price))
+        self.probe_budget = MAX_PROBES  # in probes
+        self.gossip_budget = 2 * GOSSIP_COST * self.random.random()  # in bytes; requests add to it
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
+        """Process one event and return the actions that follow from it, in order."""
         self.now, self.actions = now, []
         if isinstance(event, api.PeerMessage):  # by far the most frequent
-            self._on_news(event.data)
+            self._on_gossip(event.data)
             return self.actions
-        if now > self.timer_at + WATCH:  # own stall: what was out may have been answered long ago
-            self.back_at, self.timer_at = now, math.inf
+        if now > self.timer_at + WATCH:  # this process stalled: engines may have answered long ago
+            self.resumed_at, self.timer_at = now, math.inf
         match event:
             case api.ListUpdate():
                 self._on_list(event)
@@ -59,18 +94,18 @@
                 self._on_probe(self.fleet.engines[event.engine], event)
             case api.ClientGone(request) if request in self.queries:
                 self._end(self.queries[request], gone=True)
-            case api.Closing():  # all get their answers; what is out may have run
-                for query in list(self.queries.values()):
-                    query.may_have_run(query.engine, query.engine is not None)
-                    self._end(query, api.EndReason.SHUTDOWN)
+            case api.Closing():  # every request gets its answer; an attempt in flight may have run
+                for pending in list(self.queries.values()):
+                    pending.record_run(pending.engine, pending.engine is not None)
+                    self._end(pending, api.EndReason.SHUTDOWN)
             case api.TimerDue() if now >= self.timer_at - 1e-6:
                 self.timer_at = math.inf
-                self._watch()
-                self._step_gap()
+                self._check_in_flight()
+                self._update_gap()
         if self.held and not isinstance(event, (api.Request, api.AttemptNote)):
-            self._release(self.thin or not isinstance(event, api.AttemptEnded))
-        busy = self.held or self.out or self.rung or self.ejected or self.list_retry < math.inf
-        if busy and now + (wait := TICK if self.held else WATCH) < self.timer_at:
+            self._release(self.uses_reported_load or not isinstance(event, api.AttemptEnded))
+        busy = self.held or self.out or self.rung or self.ejected or self.list_retry_at < math.inf
+        if busy and now + (wait := QUEUE_CHECK_INTERVAL if self.held else WATCH) < self.timer_at:
             self.timer_at = now + wait
             self.actions.append(api.SetTimer(wait, "look"))
         return self.actions
--- a/aspenrill/policy/__init__.py
+++ b/aspenrill/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decision module, a file for each concern; aspenrill/control.py puts them together."""
+"""The parts of the decision module, one concern to a file; aspenrill/control.py combines them."""
 
 from .admission import Admission
 from .choice import Choice
--- a/aspenrill/policy/admission.py
+++ b/aspenrill/policy/admission.py
@@ -1,102 +1,153 @@
-"""Who may enter: the limit on what is held, the queue time-out, the entry gap on its ladder."""
+"""Admission control: the entry gap and its levels, the queue, its length limit and its time-out."""
 
 import math
 
 from .. import api
-from ..state import STEP, Query, trim
-from .figures import FULL_FOR, NEWS_COST, PROBES, TICK, WINDOW
+from ..state import ANSWER_WEIGHT, PendingRequest, trim
+from .figures import FULL_INTERVAL, GOSSIP_COST, MAX_PROBES, QUEUE_CHECK_INTERVAL, WINDOW
 
-LADDER, LOW, FEWEST = 1.3, 0.02, 10  # y: a rung's gap over the one below; r that leaves one; entries r wants
-BESIDE = 8.0  # size (work for worth) that passes beside a gap on rung 0; the kept share squared of it above
-TOP, DEEP, RENEW = 5, 9, 5.0  # highest rung, and where a jam feeds itself by a told load; d in waits
-SPEND = 0.008  # most points of the result that messages may cost: by it requests earn bytes of news
-CALM, PAGING = 0.9, 2 / 3  # the told load a gap aims at; part of it where pages
+# Growth of the entry gap from one level to the next.
+GAP_STEP = 1.3
+# Loss ratio below which the entry gap goes down by a level.
+LEVEL_DOWN_RATIO = 0.02
+# Fewest entries from which a loss ratio is taken.
+MIN_ENTRIES = 10
+# Largest relative cost of a request that passes the entry gap on level 0; it shrinks by GAP_STEP squared with
+# each level.
+BYPASS_SIZE = 8.0
+# Highest level of the entry gap.
+MAX_LEVEL = 5
+# The same where engines page under load: there overload feeds itself, and only a wider gap ends it.
+MAX_PAGING_LEVEL = 9
+# Windows for which a level is kept after the last loss ratio above LEVEL_DOWN_RATIO.
+GAP_HOLD_WINDOWS = 5.0
+# Upper bound of the share of the result that gossip may cost; by it each request adds bytes to the budget.
+GOSSIP_RESULT_SHARE = 0.008
+# Mean load of the fleet that the entry gap aims at.
+TARGET_LOAD = 0.9
+# The factor on TARGET_LOAD where engines page under load.
+PAGING_LOAD_FACTOR = 2 / 3
 
 
 class Admission:
-    def _on_request(self, ask: api.Request) -> None:
-        self.queries[ask.request] = query = Query(ask, self.now, self.classes[ask.cls].spec)
-        trim(self.taken, self.now - self.set.retry_span).append(self.now)
-        learned = self.classes[ask.cls]
-        self.mix.count(learned, STEP / FEWEST, ask.memory_mb)  # older ones fade: the mix may turn for good
-        earned = SPEND * 256 / max(SPEND, self.set.tell_price) / self.set.gateways
-        self.bytes = min(self.bytes + earned, 2 * NEWS_COST)
-        if learned.spec.in_order and self.set.key_rest is not None:
-            self.lines.join(query)
-        if ask.waited > self.shed_after[ask.cls]:
-            return self._end(query, api.EndReason.PROGRAM_BEHIND)  # what it takes on now would be late
-        size = self._size(query)
-        beside = max(BESIDE * LADDER ** (-2 * self.rung), self.sparse)  # few entries, of which r is rough
-        if self.rung and (self.news or size > beside and self._credit(ask.cls) <= 0):  # else under its share
-            small = self.news and size < LADDER**-self.rung
-            if self.now < self.next_entry and not small or self.news and size > BESIDE:
-                return self._end(query, api.EndReason.ENTRY_GAP)  # uncounted: r must not see the gap's work
-            pays = self._work(query) / self.mix.work if self.news else size  # there small ones pay too
-            self.next_entry = max(self.next_entry, self.now) + self.base_gap * LADDER**self.rung * pays
-            self.next_entry = min(self.next_entry, self.now + WINDOW) if small else self.next_entry
-        if self.news and self._tt(query) < 0 and learned.latency:
-            return self._end(query, api.EndReason.TOO_LATE)  # it cannot be on time
-        self.entered.append(self.now)
-        self.probes = min(self.probes + self.earned, 8 * PROBES)
-        if self.thin and ask.patience > 3 * TICK:
-            self._ask_some(query)
-        if (not query.asked or self.news) and self._start(query):
+    """Decides which requests enter, which wait in the queue and which are refused."""
+
+    def _on_request(self, arrival: api.Request) -> None:
+        self.queries[arrival.request] = pending = PendingRequest(
+            arrival, self.now, self.classes[arrival.cls].spec
+        )
+        trim(self.arrival_times, self.now - self.set.retry_span).append(self.now)
+        stats = self.classes[arrival.cls]
+        # Older requests fade, because the mix of classes may change for good.
+        self.mix.add_request(stats, ANSWER_WEIGHT / MIN_ENTRIES, arrival.memory_mb)
+        earned = GOSSIP_RESULT_SHARE * 256 / max(GOSSIP_RESULT_SHARE, self.set.tell_price) / self.set.gateways
+        self.gossip_budget = min(self.gossip_budget + earned, 2 * GOSSIP_COST)
+        if stats.spec.in_order and self.set.key_rest is not None:
+            self.key_queues.append(pending)
+        if arrival.waited > self.shed_after[arrival.cls]:  # it would be answered late
+            return self._end(pending, api.EndReason.PROGRAM_BEHIND)
+        size = self._relative_cost(pending)
+        # With a capacity share there are few entries, and the loss ratio is a rough estimate: at least size 1
+        # passes.
+        bypass = max(BYPASS_SIZE * GAP_STEP ** (-2 * self.rung), self.uses_capacity_share)
+        # Without gossip, a class that is under its share passes too.
+        if self.rung and (self.uses_gossip or size > bypass and self._share_credit(arrival.cls) <= 0):
+            small = self.uses_gossip and size < GAP_STEP**-self.rung
+            if self.now < self.next_entry_at and not small or self.uses_gossip and size > BYPASS_SIZE:
+                # Not counted as a loss: the gap must not react to its own refusals.
+                return self._end(pending, api.EndReason.ENTRY_GAP)
+            # With gossip small requests pass the gap but pay for it too.
+            cost = self._expected_work(pending) / self.mix.work if self.uses_gossip else size
+            self.next_entry_at = (
+                max(self.next_entry_at, self.now) + self.base_gap * GAP_STEP**self.rung * cost
+            )
+            self.next_entry_at = min(self.next_entry_at, self.now + WINDOW) if small else self.next_entry_at
+        if self.uses_gossip and self._queue_timeout(pending) < 0 and stats.latency:
+            return self._end(pending, api.EndReason.TOO_LATE)  # it cannot be answered in time
+        self.entry_times.append(self.now)
+        self.probe_budget = min(self.probe_budget + self.probes_per_request, 8 * MAX_PROBES)
+        if self.uses_reported_load and arrival.patience > 3 * QUEUE_CHECK_INTERVAL:
+            self._probe_candidates(pending)
+        if (not pending.probed or self.uses_gossip) and self._start_attempt(pending):
             return
-        tt, rate = self._tt(query), len(trim(self.starts, self.now - WINDOW)) / WINDOW
-        line = sum(q.ask.cls == ask.cls for q in self.held.values()) if self.sparse else len(self.held)
-        if (query.asked or tt > 0) and line < max(FEWEST if self.thin else 1, rate * tt):
-            self.held[ask.request] = query
+        timeout, rate = self._queue_timeout(pending), len(trim(self.send_times, self.now - WINDOW)) / WINDOW
+        length = (
+            sum(q.ask.cls == arrival.cls for q in self.held.values())
+            if self.uses_capacity_share
+            else len(self.held)
+        )
+        if (pending.probed or timeout > 0) and length < max(
+            MIN_ENTRIES if self.uses_reported_load else 1, rate * timeout
+        ):
+            self.held[arrival.request] = pending
         else:
-            self._end(query, api.EndReason.QUEUE_FULL, counted=True)
+            self._end(pending, api.EndReason.QUEUE_FULL, counted=True)
 
-    def _tt(self, query: Query) -> float:
-        """Queue time-out: time left less the class's learned latency (its aim until learned)."""
-        learned, spec = self.classes[query.ask.cls], self.classes[query.ask.cls].spec
-        aim = query.came + spec.aim + spec.aim_stretch * self._work(query) / spec.threads
-        needs = max(learned.latency or spec.aim, self.news * self._work(query) / spec.threads)
-        return min(aim, query.deadline - 3 * TICK) - self.now - needs
+    def _queue_timeout(self, pending: PendingRequest) -> float:
+        """Seconds that the request may still wait: the time left to its latency target, less the latency of
+        its class (the target stands in until a latency is known)."""
+        stats, spec = self.classes[pending.ask.cls], self.classes[pending.ask.cls].spec
+        target_at = (
+            pending.arrived_at + spec.aim + spec.aim_stretch * self._expected_work(pending) / spec.threads
+        )
+        needed = max(
+            stats.latency or spec.aim, self.uses_gossip * self._expected_work(pending) / spec.threads
+        )
+        return min(target_at, pending.deadline - 3 * QUEUE_CHECK_INTERVAL) - self.now - needed
 
     def _release(self, expire: bool) -> None:
-        """First come, first out among those that could start; what is past its tt goes at once."""
-        blocked = set()  # whose fresh queries no engine can take now
-        for query in list(self.held.values()):
-            kind = query.kind  # of the loads, only those of its own group can start where one has ended
-            if not expire and (kind in blocked or kind[1] is not None and kind != self.freed):
-                continue  # most that wait wait for the same: a look at each would cost more than it finds
-            if self._tt(query) < 0 and self.now > query.asked_at + 2 * TICK:
-                self._end(query, api.EndReason.QUEUE_TIMEOUT, counted=True)
-            elif kind not in blocked and self._has_turn(query):
-                waits = (
-                    not self.news
-                    and self.now < query.asked_at + TICK
-                    and any(e.healthy and e.heard_at < query.asked_at for e in query.asked)
-                )  # not for one that hangs
-                if not waits and not self._start(query):
-                    if self.thin and self.now >= query.asked_at + FULL_FOR:
-                        self._ask_some(query)
-                    elif not self.thin and not query.attempts:
-                        blocked.add(kind)
+        """Start queued requests in order of arrival as far as engines take them, and end those timed out."""
+        blocked = set()  # slot groups whose requests no engine can take now
+        for pending in list(self.held.values()):
+            # Where an attempt of a load has ended, only loads of its own group can start.
+            group = pending.slot_group
+            if not expire and (group in blocked or group[1] is not None and group != self.freed_group):
+                continue  # most requests wait for the same slot: checking each would cost too much
+            if self._queue_timeout(pending) < 0 and self.now > pending.probed_at + 2 * QUEUE_CHECK_INTERVAL:
+                self._end(pending, api.EndReason.QUEUE_TIMEOUT, counted=True)
+            elif group not in blocked and self._key_ready(pending):
+                # Probes are waited for one check interval only: an engine may hang.
+                awaits_probe = (
+                    not self.uses_gossip
+                    and self.now < pending.probed_at + QUEUE_CHECK_INTERVAL
+                    and any(e.healthy and e.load_at < pending.probed_at for e in pending.probed)
+                )
+                if not awaits_probe and not self._start_attempt(pending):
+                    if self.uses_reported_load and self.now >= pending.probed_at + FULL_INTERVAL:
+                        self._probe_candidates(pending)
+                    elif not self.uses_reported_load and not pending.attempts:
+                        blocked.add(group)
 
-    def _step_gap(self) -> None:
-        """The ladder of the paper: up by as many rungs as r proves, down one, each after a wait."""
-        while len(self.entered) > FEWEST and self.entered[0] <= self.now - WINDOW:
-            self.entered.popleft()
-        total, before = len(self.entered), self.rung
-        tm = max(WINDOW, self.now - self.entered[0]) if total else WINDOW
-        if self.now < self.look_at:
+    def _update_gap(self) -> None:
+        """Set the level of the entry gap from the loss ratio: up by as many levels as the ratio proves, down
+        by one, and each change holds for a window."""
+        while len(self.entry_times) > MIN_ENTRIES and self.entry_times[0] <= self.now - WINDOW:
+            self.entry_times.popleft()
+        total, before = len(self.entry_times), self.rung
+        window = max(WINDOW, self.now - self.entry_times[0]) if total else WINDOW
+        if self.now < self.next_gap_check_at:
             return
-        r = min(1.0, len(trim(self.lost, self.now - tm)) / total) if total >= FEWEST else 0.0
-        if self.news and total:  # all gateways hear the same of the fleet: what it holds beyond is too much
-            r = max(r, 1 - CALM * (PAGING if self.paging else 1) / max(1e-3, self.mean_load))
-        if r > LOW:
-            self.gap_until = self.now + RENEW * tm
-        if r > 1 - 1 / LADDER:
+        loss_ratio = (
+            min(1.0, len(trim(self.loss_times, self.now - window)) / total) if total >= MIN_ENTRIES else 0.0
+        )
+        # All gateways receive the same gossip, so each lowers its rate by the fleet's load above the target.
+        if self.uses_gossip and total:
+            loss_ratio = max(
+                loss_ratio,
+                1 - TARGET_LOAD * (PAGING_LOAD_FACTOR if self.may_page else 1) / max(1e-3, self.mean_load),
+            )
+        if loss_ratio > LEVEL_DOWN_RATIO:
+            self.gap_kept_until = self.now + GAP_HOLD_WINDOWS * window
+        if loss_ratio > 1 - 1 / GAP_STEP:
             if not self.rung:
-                self.base_gap, self.next_entry = tm / total, self.now
-            rungs = math.floor(-math.log(max(1e-3, 1 - r)) / math.log(LADDER))  # most with r > 1 - y^-j
-            self.rung = min(DEEP if self.paging else TOP, self.rung + max(1, rungs))
-        elif self.rung and (r < LOW or self.now > self.gap_until):
-            self.rung = self.rung - 1 if self.now <= self.gap_until else 0
+                self.base_gap, self.next_entry_at = window / total, self.now
+            # The most levels j for which loss_ratio > 1 - GAP_STEP**-j.
+            levels = math.floor(-math.log(max(1e-3, 1 - loss_ratio)) / math.log(GAP_STEP))
+            self.rung = min(MAX_PAGING_LEVEL if self.may_page else MAX_LEVEL, self.rung + max(1, levels))
+        elif self.rung and (loss_ratio < LEVEL_DOWN_RATIO or self.now > self.gap_kept_until):
+            self.rung = self.rung - 1 if self.now <= self.gap_kept_until else 0
         if self.rung != before:
-            self.look_at = self.now + (tm / 2 if self.paging and self.rung > before else tm)
-            self.actions.append(api.Log(f"entry gap on rung {self.rung}, r {r:.2f}"))
+            self.next_gap_check_at = self.now + (
+                window / 2 if self.may_page and self.rung > before else window
+            )
+            self.actions.append(api.Log(f"entry gap level {self.rung}, loss ratio {loss_ratio:.2f}"))
--- a/aspenrill/policy/choice.py
+++ b/aspenrill/policy/choice.py
@@ -1,108 +1,157 @@
-"""Which engine takes a query: room under the thread cap, and the choice among those that have it."""
+"""Which engine takes a request: the thread limits, and the choice among the engines that have headroom."""
 
 import math
 
 from .. import api
-from ..state import Engine, Query
-from .figures import JAMMED, LOOK, PRESSURE, THREADS_A_CORE, WINDOW
+from ..state import Engine, PendingRequest
+from .figures import JAMMED_LOAD, MAX_CANDIDATES, PRESSURE_SLOWDOWN, THREADS_A_CORE, WINDOW
 
-SHORT_ROOM, ONE_LIMIT = 2.0, 1.35  # times the limit: for short work by priority; for all work without any
-AT_EASE = 1.3  # times the limit for short work, where it binds a gateway's threads at all engines together
-EASE, DEBT = 2.0, 2.0  # power of missing pressure that widens the limit; usual queries over a class's share
-PRESSED = 1.1  # load a core, as an engine reports it, that presses
-APART, HELD = 1.0, 2.0  # threads a core that the place in a data set's order may outweigh; a load on it
+# Factor on an engine's thread limit for short work, where engines heed priorities.
+SHORT_HEADROOM = 2.0
+# Factor on an engine's thread limit for all work, where engines heed no priorities.
+EQUAL_PRIORITY_HEADROOM = 1.35
+# Factor for short work on the limit of a gateway's threads at all engines together.
+SHORT_SHARE_HEADROOM = 1.3
+# Exponent with which the limit of a capacity share widens while the fleet's slowdown is below the pressure.
+IDLE_EXPONENT = 2.0
+# Typical requests by which a class may exceed its share.
+MAX_DEBT = 2.0
+# Reported load per core at which an engine counts as under pressure.
+PRESSED_LOAD = 1.1
+# Threads per core that an engine's place in the affinity order of a data set counts for.
+AFFINITY_WEIGHT = 1.0
+# Threads per core that an engine counts as more loaded by while a load blocks its readers.
+BLOCKED_LOAD = 2.0
 
 
 class Choice:
-    def _work(self, query: Query) -> float:
-        """Expected work: the estimate, corrected by what answers taught; else the class's usual."""
-        learned = self.classes[query.ask.cls]
-        return (query.ask.work or 0.0) * (learned.scale or 0.0) or learned.usual_work()
+    """Chooses the engine for an attempt."""
 
-    def _size(self, query: Query) -> float:
-        """Work for its worth, against what the classes usually ask: under 1 is short and worthy."""
-        return self._work(query) / max(1e-3, self.classes[query.ask.cls].spec.worth) / self.mix.price
+    def _expected_work(self, pending: PendingRequest) -> float:
+        """Core-seconds: the estimate, corrected by earlier answers, else the typical work of the class."""
+        stats = self.classes[pending.ask.cls]
+        return (pending.ask.work or 0.0) * (stats.work_scale or 0.0) or stats.usual_work()
 
-    def _room(self, engine: Engine, query: Query, fits: bool) -> bool:
-        """The limit from cores and share, binding only under pressure; thin: none for longer work there."""
-        spec = self.classes[query.ask.cls].spec
-        if spec.is_load and engine.loads.get(query.ask.data_set):
-            return False  # it would stand still there, and what holds the group is slower for it
-        full, short = self.now < engine.full_until, self._size(query) < 1
+    def _relative_cost(self, pending: PendingRequest) -> float:
+        """Work per worth over the mean of the classes. Below 1 a request counts as short and worthy."""
+        return (
+            self._expected_work(pending)
+            / max(1e-3, self.classes[pending.ask.cls].spec.worth)
+            / self.mix.work_per_worth
+        )
+
+    def _has_headroom(self, engine: Engine, pending: PendingRequest, fits: bool) -> bool:
+        """Whether the engine may take one more attempt. The limit by cores and gateways applies under
+        pressure only; with probes, an engine under pressure takes short work alone."""
+        spec = self.classes[pending.ask.cls].spec
+        if spec.is_load and engine.loads.get(pending.ask.data_set):
+            return False  # it would wait there, and slow down the load that holds the group
+        full, short = self.now < engine.full_until, self._relative_cost(pending) < 1
         own = spec.threads / (THREADS_A_CORE * engine.cores)
-        fresh = not full and self.now < engine.heard_at + WINDOW
-        pressed = full or fresh and engine.load + own > PRESSED
-        if self.thin:
-            jammed = self._told_load(engine) + own > JAMMED if self.news else pressed and not short
+        fresh = not full and self.now < engine.load_at + WINDOW
+        pressed = full or fresh and engine.load + own > PRESSED_LOAD
+        if self.uses_reported_load:
+            jammed = (
+                self._estimated_load(engine) + own > JAMMED_LOAD
+                if self.uses_gossip
+                else pressed and not short
+            )
             return not full and not jammed
-        if self.sparse:
+        if self.uses_capacity_share:
             return not full and (self.now < engine.cold_until or fits)
-        limit = THREADS_A_CORE * engine.cores  # beyond it own threads alone are pressure
-        if told := fresh and engine.others is not None:  # each takes its part of what nobody has claimed
-            limit *= 1.0 if self.set.priorities_heeded else ONE_LIMIT
-            limit += max(0.0, engine.mine * (self.set.gateways - 1) - engine.others)
-        if told or pressed or self.ordinary > PRESSURE:
+        limit = THREADS_A_CORE * engine.cores  # own threads beyond it are pressure by themselves
+        # A report of other gateways' threads: each gateway takes its share of what none of them uses.
+        if reported := fresh and engine.other_threads is not None:
+            limit *= 1.0 if self.set.priorities_heeded else EQUAL_PRIORITY_HEADROOM
+            limit += max(0.0, engine.own_threads * (self.set.gateways - 1) - engine.other_threads)
+        if reported or pressed or self.ordinary > PRESSURE_SLOWDOWN:
             limit /= self.set.gateways
         if self.set.priorities_heeded and short and not full:
-            limit *= SHORT_ROOM
+            limit *= SHORT_HEADROOM
         return not engine.threads or engine.threads + spec.threads <= limit
 
-    def _fits(self, query: Query) -> bool:
-        """Sparse: room at all warm engines together; what a class under its share waits for is no room."""
-        learned, ahead = self.classes[query.ask.cls], 0
-        own, urgent = learned.spec.threads, self._size(query) < 1 and self.set.priorities_heeded
+    def _fits_share(self, pending: PendingRequest) -> bool:
+        """Whether the request fits within this gateway's thread limit at all warm engines together. Threads
+        that a class under its share waits for count as taken."""
+        stats, reserved = self.classes[pending.ask.cls], 0
+        own, urgent = stats.spec.threads, self._relative_cost(pending) < 1 and self.set.priorities_heeded
         warm = sum(
             self.classes[q.ask.cls].spec.threads
             for q in self.out.values()
             if q.engine.entry.state is api.EngineState.LIVE and self.now >= q.engine.cold_until
         )
-        if self.held and self._credit(query.ask.cls) <= 0:
-            others = {q.ask.cls for q in self.held.values()} - {query.ask.cls}
-            ahead = max((self.classes[c].spec.threads for c in others if self._credit(c) > 0), default=0)
-        apart = urgent and learned.threads + own <= self.part  # long work is not to keep out short
-        return warm + ahead + own <= self._cap() * (AT_EASE if urgent else 1) or not warm + ahead or apart
+        if self.held and self._share_credit(pending.ask.cls) <= 0:
+            others = {q.ask.cls for q in self.held.values()} - {pending.ask.cls}
+            reserved = max(
+                (self.classes[c].spec.threads for c in others if self._share_credit(c) > 0), default=0
+            )
+        exempt = (
+            urgent and stats.threads + own <= self.capacity_share
+        )  # long work must not keep out short work
+        return (
+            warm + reserved + own <= self._thread_limit() * (SHORT_SHARE_HEADROOM if urgent else 1)
+            or not warm + reserved
+            or exempt
+        )
 
-    def _cap(self) -> float:
-        """Sparse: threads for all warm engines together; it widens where nothing is slow."""
-        return THREADS_A_CORE * self.part * max(1.0, PRESSURE / self.ordinary) ** EASE
+    def _thread_limit(self) -> float:
+        """Threads for all warm engines together, with a capacity share; more while the fleet is not slow."""
+        return (
+            THREADS_A_CORE
+            * self.capacity_share
+            * max(1.0, PRESSURE_SLOWDOWN / self.ordinary) ** IDLE_EXPONENT
+        )
 
-    def _credit(self, cls: int) -> float:
-        """Thread-seconds of the cap that a class has not used of its share, by the worth asked of each."""
-        known = self.classes[cls]
-        return self.sparse and known.account(self.now, self.mix.share(known) * self._cap(), DEBT)
+    def _share_credit(self, cls: int) -> float:
+        """Unused thread-seconds of a class's share of the thread limit; shares go by the worth requested."""
+        stats = self.classes[cls]
+        return self.uses_capacity_share and stats.update_credit(
+            self.now, self.mix.share(stats) * self._thread_limit(), MAX_DEBT
+        )
 
-    def _start(self, query: Query) -> bool:
-        """To the engine with fewest own threads a core among those that may take it; of equals by chance."""
-        some = self.live if len(self.live) <= LOOK else self.random.sample(self.live, LOOK)
-        fits = not self.sparse or self._fits(query)
-        cold = self.random.sample(self.cold, min(LOOK, len(self.cold)))
-        if self.sparse:
-            able = [
+    def _start_attempt(self, pending: PendingRequest) -> bool:
+        """Send the request to the candidate with the fewest threads per core; ties are broken at random."""
+        candidates = (
+            self.live if len(self.live) <= MAX_CANDIDATES else self.random.sample(self.live, MAX_CANDIDATES)
+        )
+        fits = not self.uses_capacity_share or self._fits_share(pending)
+        cold = self.random.sample(self.cold, min(MAX_CANDIDATES, len(self.cold)))
+        if self.uses_capacity_share:
+            preferred = [
                 e
-                for e in self.homes
-                if fits and e.healthy and self._allowed(query, e) and self._room(e, query, fits)
+                for e in self.affinity_engines
+                if fits and e.healthy and self._allowed(pending, e) and self._has_headroom(e, pending, fits)
             ]
-            some = (able or some) * fits + cold
-        answered = self.thin and [e for e in query.asked if e.heard_at >= query.asked_at or self.news]
-        some = answered + cold if answered else some
-        spec, best, best_load = self.classes[query.ask.cls].spec, None, (math.inf, 0.0)
-        for engine in some:
-            if not engine.healthy or not self._allowed(query, engine) or not self._room(engine, query, fits):
+            candidates = (preferred or candidates) * fits + cold
+        answered = self.uses_reported_load and [
+            e for e in pending.probed if e.load_at >= pending.probed_at or self.uses_gossip
+        ]
+        candidates = answered + cold if answered else candidates
+        spec, best, best_load = self.classes[pending.ask.cls].spec, None, (math.inf, 0.0)
+        for engine in candidates:
+            if (
+                not engine.healthy
+                or not self._allowed(pending, engine)
+                or not self._has_headroom(engine, pending, fits)
+            ):
                 continue
-            able = engine.cores * engine.share
-            own = engine.threads if self.fleet.weighed else engine.threads + spec.threads
-            load = own / able + (engine.entry.engine in query.attempts)
-            if self.thin and self.now >= engine.cold_until:  # a cold one's turn is bound enough
-                load += self._told_load(engine) if self.news else engine.load
-            elif self.readers_wait and not self.thin:
-                place = self.fleet.order(query.ask.data_set).index(engine) / len(self.live)
-                load += APART * (1 - place if spec.is_load else place)
-                load += HELD * (spec.waits_for_loads and engine.held(query.ask.data_set, self.now))
-            if self.sparse:  # all see the same cores: by chance, or all would choose the same engines
-                load = self.random.expovariate(able) * (1 + engine.threads) * self._slow(engine) ** 2
-                load *= self.now >= engine.cold_until  # a turn that is not used is lost
-                load += 1e3 * (engine.entry.engine in query.attempts)
-            tie = self.random.expovariate(able) if self.fleet.weighed else self.random.random()
+            capacity = engine.cores * engine.share
+            own = engine.threads if self.fleet.has_weights else engine.threads + spec.threads
+            load = own / capacity + (engine.entry.engine in pending.attempts)
+            if self.uses_reported_load and self.now >= engine.cold_until:  # slots limit the cold ones already
+                load += self._estimated_load(engine) if self.uses_gossip else engine.load
+            elif self.readers_wait_for_loads and not self.uses_reported_load:
+                place = self.fleet.order(pending.ask.data_set).index(engine) / len(self.live)
+                load += AFFINITY_WEIGHT * (1 - place if spec.is_load else place)
+                load += BLOCKED_LOAD * (
+                    spec.waits_for_loads and engine.readers_blocked(pending.ask.data_set, self.now)
+                )
+            # Gateways that all see the same cores must choose at random, or they choose the same engines.
+            if self.uses_capacity_share:
+                load = self.random.expovariate(capacity) * (1 + engine.threads) * self._slowdown(engine) ** 2
+                load *= self.now >= engine.cold_until  # cold engines first: an unused slot is lost
+                load += 1e3 * (engine.entry.engine in pending.attempts)
+            tie = self.random.expovariate(capacity) if self.fleet.has_weights else self.random.random()
             if (load, tie) < best_load:
                 best, best_load = engine, (load, tie)
-        return best is not None and self._send(query, best)
+        return best is not None and self._send(pending, best)
--- a/aspenrill/policy/sending.py
+++ b/aspenrill/policy/sending.py
@@ -1,119 +1,160 @@
-"""Sending under the guards of the rules, and the one final answer."""
+"""Sending an attempt, with every rule that it must keep, and the one final answer of a request."""
 
 import math
 import zlib
 
 from .. import api
-from ..state import Engine, Query, trim
-from .figures import OVERDUE, PRESSURE, TICK, WATCH, WINDOW
+from ..state import Engine, PendingRequest, trim
+from .figures import OVERDUE_FACTOR, PRESSURE_SLOWDOWN, QUEUE_CHECK_INTERVAL, WATCH, WINDOW
 
-AMPLE, SAFETY = 4.0, 0.6  # times the estimate granted where a shortage pages; most of the cold budget used
-SOON = 0.1  # of the window in which a cold engine falls: how late a turn may begin, lest several come at once
+# Factor on the estimate of the memory granted where a shortage makes the engine page.
+PAGING_GRANT_FACTOR = 4.0
+# Upper bound of the share of a cold engine's work budget that is used.
+COLD_BUDGET_SHARE = 0.6
+# Share of a cold engine's window within which an attempt must begin: late ones would coincide with the next.
+COLD_BEGIN_SHARE = 0.1
 
 
 class Sending:
-    def _allowed(self, query: Query, engine: Engine) -> bool:
-        """Every rule that a send must keep, each where its settings are present."""
-        spec, entry = self.classes[query.ask.cls].spec, engine.entry
+    """Sends attempts and ends requests."""
+
+    def _allowed(self, pending: PendingRequest, engine: Engine) -> bool:
+        """Whether every rule permits this attempt. A rule applies where its settings are present."""
+        spec, entry = self.classes[pending.ask.cls].spec, engine.entry
         return (
-            not query.ended
-            and query.engine is None
-            and self.now < query.deadline  # one answer, one out
+            not pending.ended
+            and pending.engine is None
+            and self.now < pending.deadline  # one answer, one attempt in flight
             and entry.state is api.EngineState.LIVE  # drains
             and (spec.only_kinds is None or entry.kind in spec.only_kinds)  # placement
             and (spec.only_zones is None or entry.zone in spec.only_zones)
-            and (not query.attempts or self._may_repeat(query, engine))  # effects, retry budget
-            and self._has_turn(query)  # order
-            and (self.now >= engine.cold_until or self.now >= self._cold_turn(engine, query.ask.cls))
+            and (not pending.attempts or self._may_repeat(pending, engine))  # effects, retry budget
+            and self._key_ready(pending)  # order
+            and (self.now >= engine.cold_until or self.now >= self._cold_slot_at(engine, pending.ask.cls))
         )
 
-    def _may_repeat(self, query: Query, engine: Engine) -> bool:
-        spec = self.classes[query.ask.cls].spec
-        if query.ran_at is not None and spec.effect is not api.Effect.SAFE:
-            here, there = (getattr(e.entry, spec.dedup_scope, "all") for e in (engine, query.ran_on))
-            if spec.effect is api.Effect.UNSAFE or here != there or self.now >= query.known_until:
+    def _may_repeat(self, pending: PendingRequest, engine: Engine) -> bool:
+        """Whether a further attempt at this engine keeps to the class's effect and to the retry budget."""
+        spec = self.classes[pending.ask.cls].spec
+        if pending.ran_at is not None and spec.effect is not api.Effect.SAFE:
+            here, there = (getattr(e.entry, spec.dedup_scope, "all") for e in (engine, pending.ran_on))
+            if spec.effect is api.Effect.UNSAFE or here != there or self.now >= pending.dedup_until:
                 return False
-        span, ratio = self.set.retry_span, self.set.retry_ratio  # both its ends on the safe side
-        free = (self.set.retry_free or 0) + (ratio or 0) * len(trim(self.taken, self.now - span + TICK))
-        within = ratio is None or len(trim(self.extra, self.now - span - TICK)) + 1 <= free
-        return within and len(query.attempts) < self.set.most_attempts
+        span, ratio = self.set.retry_span, self.set.retry_ratio  # both edges of the span are counted strictly
+        allowance = (self.set.retry_free or 0) + (ratio or 0) * len(
+            trim(self.arrival_times, self.now - span + QUEUE_CHECK_INTERVAL)
+        )
+        within = (
+            ratio is None
+            or len(trim(self.retry_times, self.now - span - QUEUE_CHECK_INTERVAL)) + 1 <= allowance
+        )
+        return within and len(pending.attempts) < self.set.most_attempts
 
-    def _has_turn(self, query: Query) -> bool:
-        return not query.in_line or bool(
-            self.lines.first(query) and (query.attempts or self.now >= self.key_rest.get(query.ask.key, 0.0))
+    def _key_ready(self, pending: PendingRequest) -> bool:
+        """Whether the request is the first of its ordered key and the key is not backed off."""
+        return not pending.in_key_queue or bool(
+            self.key_queues.is_first(pending)
+            and (pending.attempts or self.now >= self.key_backoff_until.get(pending.ask.key, 0.0))
         )
 
-    def _cold_turn(self, engine: Engine, cls: int, after: bool = False) -> float:
-        """When this class may next go to a cold engine, whose capacity is dealt out in turns of one query."""
-        rules, learned = self.set, self.classes[cls]
-        least, age = rules.start_capacity, max(0.0, self.now - engine.entry.started)
-        able = min(least + (1 - least) * age / rules.cold_for, least * SAFETY * rules.fall_multiple)
-        share = learned.asked / sum(c.asked for c in self.classes)
-        wait = learned.careful_work() * rules.gateways / (share * able * engine.cores)
+    def _cold_slot_at(self, engine: Engine, cls: int, after: bool = False) -> float:
+        """When this class may next be sent to a cold engine, whose capacity is divided into slots of one
+        request. `after`: the current slot was just used."""
+        rules, stats = self.set, self.classes[cls]
+        start, age = rules.start_capacity, max(0.0, self.now - engine.entry.started)
+        capacity = min(
+            start + (1 - start) * age / rules.cold_for, start * COLD_BUDGET_SHARE * rules.fall_multiple
+        )
+        share = stats.requested_work / sum(c.requested_work for c in self.classes)
+        interval = stats.conservative_work() * rules.gateways / (share * capacity * engine.cores)
         place = (rules.me + zlib.crc32(engine.entry.engine.encode()) + cls) % rules.gateways + 0.5
-        due = engine.turns.get(cls, engine.told_at + wait * place / rules.gateways)
-        due += max(0.0, due - self.now) * (wait / engine.waits.get(cls, wait) - 1)  # the rest, as learned
-        if after or self.now > due + rules.fall_window:  # one not used is lost: saved up, all come at once
-            due = self.now + wait * (1 if after else self.random.random())
-        engine.turns[cls], engine.waits[cls] = due, wait
+        due = engine.cold_slots.get(cls, engine.listed_at + interval * place / rules.gateways)
+        # Scale what remains of the interval by what was learned since the slot was set.
+        due += max(0.0, due - self.now) * (interval / engine.cold_slot_intervals.get(cls, interval) - 1)
+        # An unused slot is lost: saved slots would all come at once.
+        if after or self.now > due + rules.fall_window:
+            due = self.now + interval * (1 if after else self.random.random())
+        engine.cold_slots[cls], engine.cold_slot_intervals[cls] = due, interval
         return due
 
-    def _count(self, query: Query, engine: Engine, step: int) -> None:
-        """One more attempt out (1), or one fewer (-1)."""
-        learned = self.classes[query.ask.cls]
-        self._credit(query.ask.cls)
-        learned.threads += step * learned.spec.threads
-        engine.count(learned.spec, query.ask.data_set, step)
+    def _count_attempt(self, pending: PendingRequest, engine: Engine, step: int) -> None:
+        """Count one more attempt in flight (1), or one fewer (-1)."""
+        stats = self.classes[pending.ask.cls]
+        self._share_credit(pending.ask.cls)
+        stats.threads += step * stats.spec.threads
+        engine.count_attempt(stats.spec, pending.ask.data_set, step)
 
-    def _send(self, query: Query, engine: Engine) -> bool:
-        """The one place that sends."""
-        if not self._allowed(query, engine):
+    def _send(self, pending: PendingRequest, engine: Engine) -> bool:
+        """Send the request to the engine if every rule permits it. Nothing else sends."""
+        if not self._allowed(pending, engine):
             return False
-        ask, learned = query.ask, self.classes[query.ask.cls]
-        self.held.pop(ask.request, None)
-        grant = ask.memory_mb * (learned.memory, AMPLE)[self.set.shortage_pages] * self.set.grants_heeded
+        arrival, stats = pending.ask, self.classes[pending.ask.cls]
+        self.held.pop(arrival.request, None)
+        grant = (
+            arrival.memory_mb
+            * (stats.memory_factor, PAGING_GRANT_FACTOR)[self.set.shortage_pages]
+            * self.set.grants_heeded
+        )
         if self.set.priorities_heeded or grant:
-            self.actions.append(api.SetTerms(ask.request, grant, self._priority(query)))
-        trim(self.extra, self.now - self.set.retry_span - TICK).extend([self.now] * bool(query.attempts))
-        query.sent(engine, self.now)
-        query.expected = max(self._work(query) / learned.spec.threads, learned.latency or learned.spec.aim)
-        limit = OVERDUE * query.expected * self.ordinary  # an answer may be lost; a cancel frees the work
-        limit = min(limit, max(limit / 2, self._tt(query)))  # in time for another, but a fair one first
-        slow = self.thin and self.set.costs_told and self.ordinary > PRESSURE  # told costs prove it
-        slow |= bool(self.rung) and not self.thin and not self.set.priorities_heeded  # it is in the way
-        again = self.set.may_cancel and len(query.attempts) < self.set.most_attempts
-        limit *= slow and again and learned.spec.effect is not api.Effect.UNSAFE
-        engine.out[ask.request] = self.out[ask.request] = query
-        self._count(query, engine, 1)
+            self.actions.append(api.SetTerms(arrival.request, grant, self._priority(pending)))
+        trim(self.retry_times, self.now - self.set.retry_span - QUEUE_CHECK_INTERVAL).extend(
+            [self.now] * bool(pending.attempts)
+        )
+        pending.record_send(engine, self.now)
+        pending.expected_latency = max(
+            self._expected_work(pending) / stats.spec.threads, stats.latency or stats.spec.aim
+        )
+        # The answer may be lost; a cancel then frees the engine.
+        timeout = OVERDUE_FACTOR * pending.expected_latency * self.ordinary
+        # Early enough for another attempt, but not so early that this one has no fair chance.
+        timeout = min(timeout, max(timeout / 2, self._queue_timeout(pending)))
+        # Limit the attempt where reported work proves the fleet slow, or where it delays others under a gap.
+        limited = self.uses_reported_load and self.set.costs_told and self.ordinary > PRESSURE_SLOWDOWN
+        limited |= bool(self.rung) and not self.uses_reported_load and not self.set.priorities_heeded
+        again = self.set.may_cancel and len(pending.attempts) < self.set.most_attempts
+        timeout *= limited and again and stats.spec.effect is not api.Effect.UNSAFE
+        engine.out[arrival.request] = self.out[arrival.request] = pending
+        self._count_attempt(pending, engine, 1)
         if self.now < engine.cold_until:
-            self._cold_turn(engine, ask.cls, after=True)
-            query.begin_by = min(query.begin_by, self.now + SOON * self.set.fall_window)
-        trim(self.starts, self.now - WINDOW).append(self.now)
-        self.actions.append(api.Send(ask.request, engine.entry.engine, limit, query.within(self.now)))
+            self._cold_slot_at(engine, arrival.cls, after=True)
+            pending.begin_by = min(pending.begin_by, self.now + COLD_BEGIN_SHARE * self.set.fall_window)
+        trim(self.send_times, self.now - WINDOW).append(self.now)
+        self.actions.append(
+            api.Send(arrival.request, engine.entry.engine, timeout, pending.time_to_begin(self.now))
+        )
         return True
 
-    def _priority(self, query: Query) -> int:
-        """Short and worthy work first; a load that others wait for must not linger under them."""
-        size = 0.0 if self.classes[query.ask.cls].spec.is_load else self._size(query)
+    def _priority(self, pending: PendingRequest) -> int:
+        """0 to 3: short and worthy work has the highest. A load, for which others wait, has it too."""
+        size = 0.0 if self.classes[pending.ask.cls].spec.is_load else self._relative_cost(pending)
         return max(0, min(3, round(1.5 - math.log2(max(1e-6, size)))))
 
     def _end(
-        self, query: Query, reason: api.EndReason | None = None, gone: bool = False, counted: bool = False
+        self,
+        pending: PendingRequest,
+        reason: api.EndReason | None = None,
+        gone: bool = False,
+        counted: bool = False,
     ) -> None:
-        """The one place that ends a request: refused where that is harmless, failed otherwise."""
-        ask, spec = query.ask, self.classes[query.ask.cls].spec
-        query.ended = True
-        self.lost += [self.now] * counted
-        self.held.pop(ask.request, None)
-        self.queries.pop(ask.request, None)
-        if gone and query.engine is not None and self.set.may_cancel:
-            self.actions.append(api.Cancel(ask.request, len(query.attempts) - 1))
+        """End a request: refuse it where a repeat does no harm, else fail it. Nothing else ends one.
+        `gone`: no answer is owed any more; `counted`: the entry gap counts it as a loss."""
+        arrival, spec = pending.ask, self.classes[pending.ask.cls].spec
+        pending.ended = True
+        self.loss_times += [self.now] * counted
+        self.held.pop(arrival.request, None)
+        self.queries.pop(arrival.request, None)
+        if gone and pending.engine is not None and self.set.may_cancel:
+            self.actions.append(api.Cancel(arrival.request, len(pending.attempts) - 1))
         elif not gone:
             shared = spec.effect is api.Effect.KEYED and spec.dedup_scope == "all"
-            harmless = query.ran_at is None or spec.effect is api.Effect.SAFE or shared
-            hint = min(max(WATCH, (self.next_entry - self.now) * (self.rung > 0)), self.set.longest_come_back)
+            harmless = pending.ran_at is None or spec.effect is api.Effect.SAFE or shared
+            retry_after = min(
+                max(WATCH, (self.next_entry_at - self.now) * (self.rung > 0)), self.set.longest_come_back
+            )
             self.actions.append(
-                api.Refuse(ask.request, hint, reason) if harmless else api.Fail(ask.request, reason)
+                api.Refuse(arrival.request, retry_after, reason)
+                if harmless
+                else api.Fail(arrival.request, reason)
             )
-        if query.engine is None:  # else its key waits for what is out
-            self.lines.leave(query)
+        if pending.engine is None:  # else its key waits for the attempt in flight
+            self.key_queues.remove(pending)
--- a/aspenrill/policy/view.py
+++ b/aspenrill/policy/view.py
@@ -1,142 +1,219 @@
-"""Which engines there are, and how they are: the list, own outcomes, reports, what others tell."""
+"""What a gateway knows of its engines: the engine list, own outcomes, load reports, gossip and ejection."""
 
 import math
 
 from .. import api
-from ..state import Engine, Query, pack_news
-from .figures import FULL_FOR, JAMMED, LOOK, NEWS_COST, OVERDUE, PRESSURE, THREADS_A_CORE, WATCH
-
-EJECT, EJECT_MOST, MOST_OUT = 1.0, 8.0, 0.5  # seconds out, doubled until an answer; the most of the fleet
-ASKED, HOMES = 3, 2  # engines probed for a query (one fewer in calm), and homes of a data set among them
-NEWS_FOR = 2.0  # seconds in which a load as told fades to the fleet's mean, and failing ones count together
-NEWS_MOST, TELL_FOR = 5, 0.5  # engines in a message, seconds that what is told is new
+from ..state import Engine, PendingRequest, pack_gossip
+from .figures import (
+    FULL_INTERVAL,
+    GOSSIP_COST,
+    JAMMED_LOAD,
+    MAX_CANDIDATES,
+    OVERDUE_FACTOR,
+    PRESSURE_SLOWDOWN,
+    THREADS_A_CORE,
+    WATCH,
+)
+
+# Seconds for which an engine is ejected the first time; doubled each time until it answers.
+EJECT_INTERVAL = 1.0
+# Upper bound of these seconds.
+MAX_EJECT_INTERVAL = 8.0
+# Upper bound of the share of the engines that are ejected.
+MAX_EJECTED_SHARE = 0.5
+# Engines probed for one request; one fewer while the fleet is not under pressure.
+PROBES_PER_START = 3
+# How many of these are the first in the affinity order of the data set.
+AFFINITY_PROBES = 2
+# Seconds in which a gossiped load decays to the fleet's mean. Two failures within this time eject an engine.
+GOSSIP_FADE = 2.0
+# Upper bound of the engines in one gossip message.
+MAX_GOSSIP_ENGINES = 5
+# Seconds for which a load is recent enough to be gossiped.
+GOSSIP_FRESH = 0.5
 
 
 class View:
+    """Keeps the state of the engines, ejects those that fail and brings them back."""
+
     def _on_list(self, update: api.ListUpdate) -> None:
+        """Apply an update of the engine list, then decide how the load of engines is to be known.
+
+        With few gateways their own attempts show it. With many, `uses_reported_load` relies on probes or,
+        where engines may not be probed, on gossip (`uses_gossip`). With neither, `uses_capacity_share` limits
+        each gateway to its share of the cores.
+        """
         if update.mode is api.ListMode.REFUSED and self.set.ask_for_list:
-            self.list_retry = self.now + 1.0 + self.random.random()  # not all at once; the list stays in use
+            # At a random moment, so that not all gateways retry at once; the old list stays in use.
+            self.list_retry_at = self.now + 1.0 + self.random.random()
         if update.mode is api.ListMode.REMEMBERED and self.set.ask_for_list:
             self.actions.append(api.WatchList())
         self.live = self.cold = self.fleet.apply(update, self.now)
         for engine in self.live if self.set.fall_window else ():
             engine.cold_until = engine.entry.started and engine.entry.started + self.set.cold_for
         self.ejected = [e for e in self.live if not e.healthy]
-        asks = self.set.may_probe and self.earned >= ASKED  # probes are cheap enough for every request
-        most = max((THREADS_A_CORE * e.cores for e in self.live), default=0.0)  # that one engine should carry
-        few = self.set.gateways > min(len(self.live), max(LOOK, most))
-        self.thin = few and (asks or self.set.may_tell and not self.set.may_probe)
-        self.sparse = few and not self.thin  # nor does anyone tell of them: this gateway's part of all counts
-        self.news = self.thin and not asks  # and gateways tell each other of them
-        order = 2 * self.fleet.order(-1) if self.sparse else []  # round once more
-        self.homes = order[self.set.me * len(self.live) // self.set.gateways :][: min(LOOK, len(self.live))]
-        self.paging = self.news and self.set.shortage_pages  # a jam feeds itself
-        self._measure()
-
-    def _measure(self) -> None:  # what is cold is dealt out in turns
+        # Whether probes are cheap enough for every request.
+        affordable = self.set.may_probe and self.probes_per_request >= PROBES_PER_START
+        # The most gateways that one engine should serve.
+        most = max((THREADS_A_CORE * e.cores for e in self.live), default=0.0)
+        many_gateways = self.set.gateways > min(len(self.live), max(MAX_CANDIDATES, most))
+        self.uses_reported_load = many_gateways and (
+            affordable or self.set.may_tell and not self.set.may_probe
+        )
+        self.uses_capacity_share = many_gateways and not self.uses_reported_load
+        self.uses_gossip = self.uses_reported_load and not affordable
+        order = 2 * self.fleet.order(-1) if self.uses_capacity_share else []  # doubled to wrap around
+        self.affinity_engines = order[self.set.me * len(self.live) // self.set.gateways :][
+            : min(MAX_CANDIDATES, len(self.live))
+        ]
+        self.may_page = self.uses_gossip and self.set.shortage_pages  # then overload feeds itself
+        self._update_capacity()
+
+    def _update_capacity(self) -> None:
+        """Recompute the cold engines and this gateway's share of the warm cores. Cold cores go by slots."""
         self.cold = [e for e in self.cold if self.now < e.cold_until]
-        self.part = sum(e.cores for e in self.live if self.now >= e.cold_until) / self.set.gateways
-
-    def _eject(self, engine: Engine, why: str, told: bool = False) -> None:
-        """Out after one failure: in a large fleet there is seldom more evidence. A probe brings it back."""
-        doubted, engine.failed_at = self.now <= engine.failed_at + NEWS_FOR, self.now
-        if self.news and not told:
-            self._tell(engine)
-        if self.news and not doubted:
-            return  # one failure may be chance; the next, anyone's, is not
+        self.capacity_share = sum(e.cores for e in self.live if self.now >= e.cold_until) / self.set.gateways
+
+    def _eject(self, engine: Engine, why: str, gossiped: bool = False) -> None:
+        """Eject an engine until a probe or a trial succeeds: after one failure, because a gateway of a large
+        fleet seldom sees more; with gossip after two failures, its own or those of others."""
+        doubted, engine.failed_at = self.now <= engine.failed_at + GOSSIP_FADE, self.now
+        if self.uses_gossip and not gossiped:
+            self._gossip(engine)
+        if self.uses_gossip and not doubted:
+            return  # one failure may be chance
         if engine.healthy:
-            if sum(not e.healthy for e in self.ejected) + 1 > MOST_OUT * len(self.live):
+            if sum(not e.healthy for e in self.ejected) + 1 > MAX_EJECTED_SHARE * len(self.live):
                 return
             self.ejected.append(engine)
             self.actions.append(api.Log(f"engine {engine.entry.engine} ejected: {why}"))
-        engine.penalty = min(EJECT_MOST, 2 * engine.penalty) or EJECT
-        apart = self.random.random() * self.set.gateways * self.news  # one trial in a penalty by all; told
-        engine.ejected_until = self.now + engine.penalty * (1 + apart)
-
-    def _watch(self) -> None:
-        """Asks after engines that are overdue by the fleet's own measure; time away counts for nothing."""
-        for query in self.out.values():
-            waited = self.now - max(query.sent_at, self.back_at)
-            if not query.suspect and waited > OVERDUE * query.expected * self.ordinary:
-                query.suspect = True  # an engine that answers others is not silent
-                if not self._probe(query.engine) and (not self.thin or query.engine.heard_at < query.sent_at):
-                    self._eject(query.engine, "attempt overdue")
+        engine.penalty = min(MAX_EJECT_INTERVAL, 2 * engine.penalty) or EJECT_INTERVAL
+        # With gossip all gateways together make about one trial per interval, and gossip its result.
+        jitter = self.random.random() * self.set.gateways * self.uses_gossip
+        engine.ejected_until = self.now + engine.penalty * (1 + jitter)
+
+    def _check_in_flight(self) -> None:
+        """Probe engines whose attempts are overdue by the slowdown of the fleet, end ejections that are over,
+        and update the mean load. Time in which this process stalled does not count as waiting."""
+        for pending in self.out.values():
+            waited = self.now - max(pending.sent_at, self.resumed_at)
+            if not pending.suspect and waited > OVERDUE_FACTOR * pending.expected_latency * self.ordinary:
+                pending.suspect = True
+                # An engine that was reported on since the attempt was sent is not unresponsive.
+                if not self._probe(pending.engine) and (
+                    not self.uses_reported_load or pending.engine.load_at < pending.sent_at
+                ):
+                    self._eject(pending.engine, "attempt overdue")
         self.ejected = [e for e in self.ejected if not e.healthy]
         for engine in [e for e in self.ejected if self.now >= e.ejected_until]:
-            engine.ejected_until = self.now + (engine.penalty or EJECT) if self._probe(engine) else 0.0
-        self._measure()
-        if self.news and self.live and self.now > self.mean_at + 2 * WATCH:
-            drained = (e.load * math.exp((e.heard_at - self.now) / self.mix.stay) for e in self.live)
-            self.mean_load, self.mean_at = sum(min(JAMMED, x) for x in drained) / len(self.live), self.now
-        if self.now >= self.list_retry:
-            self.list_retry, self.actions = math.inf, [*self.actions, api.WatchList()]
+            engine.ejected_until = (
+                self.now + (engine.penalty or EJECT_INTERVAL) if self._probe(engine) else 0.0
+            )
+        self._update_capacity()
+        if self.uses_gossip and self.live and self.now > self.mean_load_at + 2 * WATCH:
+            drained = (e.load * math.exp((e.load_at - self.now) / self.mix.latency) for e in self.live)
+            self.mean_load, self.mean_load_at = (
+                sum(min(JAMMED_LOAD, x) for x in drained) / len(self.live),
+                self.now,
+            )
+        if self.now >= self.list_retry_at:
+            self.list_retry_at, self.actions = math.inf, [*self.actions, api.WatchList()]
 
     def _probe(self, engine: Engine) -> bool:
-        if may := self.set.may_probe and self.probes >= 1.0:
-            self.probes -= 1.0
+        """Probe an engine if probes are allowed and the budget has one left; whether it was probed."""
+        if may := self.set.may_probe and self.probe_budget >= 1.0:
+            self.probe_budget -= 1.0
             self.actions.append(api.Probe(engine.entry.engine))
         return may
 
-    def _ask_some(self, query: Query) -> None:
-        """Probe a few before a start: what hangs, is down or is loaded is passed by."""
-        homes = HOMES * (not self.news)  # load there is not asked for, and a home must not draw a herd
-        first, other = (order := self.fleet.order(query.ask.data_set))[:homes], order[homes:]
-        other = self.random.sample(other, min(LOOK, len(other)))
-        places = other if self.classes[query.ask.cls].spec.is_load or query.attempts else first + other
-        able = [e for e in places if e.healthy and self._allowed(query, e)]
-        query.asked_at, query.asked = self.now, able[: ASKED - (self.news or self.ordinary <= PRESSURE)]
-        for engine in query.asked:
+    def _probe_candidates(self, pending: PendingRequest) -> None:
+        """Probe a few engines before a start, so that engines that hang, are down or loaded are avoided."""
+        # With gossip loads are not probed, and an affinity would draw all gateways to the same engines.
+        affinity_count = AFFINITY_PROBES * (not self.uses_gossip)
+        first, other = (
+            (order := self.fleet.order(pending.ask.data_set))[:affinity_count],
+            order[affinity_count:],
+        )
+        other = self.random.sample(other, min(MAX_CANDIDATES, len(other)))
+        candidates = (
+            other if self.classes[pending.ask.cls].spec.is_load or pending.attempts else first + other
+        )
+        allowed = [e for e in candidates if e.healthy and self._allowed(pending, e)]
+        pending.probed_at, pending.probed = (
+            self.now,
+            allowed[: PROBES_PER_START - (self.uses_gossip or self.ordinary <= PRESSURE_SLOWDOWN)],
+        )
+        for engine in pending.probed:
             self._probe(engine)
 
-    def _tell(self, engine: Engine) -> None:
-        """For all others: what this engine and those met just before hold; requests have earned it."""
-        self.met[engine] = self.now
-        if self.bytes >= NEWS_COST:
-            self.bytes -= NEWS_COST
-            fresh = sorted((e for e, at in self.met.items() if at > self.now - TELL_FOR), key=self.met.get)
-            self.met.clear()
+    def _gossip(self, engine: Engine) -> None:
+        """Send the loads of this engine and of those that answered just before to all other gateways, as far
+        as the gossip budget allows."""
+        self.recent_loads[engine] = self.now
+        if self.gossip_budget >= GOSSIP_COST:
+            self.gossip_budget -= GOSSIP_COST
+            fresh = sorted(
+                (e for e, at in self.recent_loads.items() if at > self.now - GOSSIP_FRESH),
+                key=self.recent_loads.get,
+            )
+            self.recent_loads.clear()
             self.actions.append(
                 api.Tell(
-                    pack_news(
-                        [(e, math.inf if e.failed_at >= e.heard_at else e.load) for e in fresh[-NEWS_MOST:]]
+                    pack_gossip(
+                        [
+                            (e, math.inf if e.failed_at >= e.load_at else e.load)
+                            for e in fresh[-MAX_GOSSIP_ENGINES:]
+                        ]
                     )
                 )
             )
 
-    def _on_news(self, data: bytes) -> None:
-        """What another gateway met; what is not understood changes nothing."""
-        for engine, load in self.fleet.read_news(data) if self.news else ():
+    def _on_gossip(self, data: bytes) -> None:
+        """Apply another gateway's message. Unknown engines in it are skipped."""
+        for engine, load in self.fleet.unpack_gossip(data) if self.uses_gossip else ():
             if load == math.inf:
-                self._eject(engine, "told by others", told=True)
+                self._eject(engine, "reported by another gateway", gossiped=True)
             else:
-                engine.load, engine.heard_at, engine.ejected_until, engine.penalty = load, self.now, 0.0, 0.0
+                engine.load, engine.load_at, engine.ejected_until, engine.penalty = load, self.now, 0.0, 0.0
 
     def _on_probe(self, engine: Engine, end: api.ProbeEnded) -> None:
         if end.outcome is api.Outcome.FULL:
-            engine.full_until = self.now + FULL_FOR
-        elif end.outcome is not api.Outcome.OK and self.now > self.back_at:
+            engine.full_until = self.now + FULL_INTERVAL
+        elif end.outcome is not api.Outcome.OK and self.now > self.resumed_at:
             self._eject(engine, f"probe {end.outcome.value}")
         elif end.outcome is api.Outcome.OK:
-            self._hear(engine, end.report)
+            self._apply_report(engine, end.report)
             self.actions += [] if engine.healthy else [api.Log(f"engine {engine.entry.engine} back")]
             engine.ejected_until = 0.0
 
-    def _hear(self, engine: Engine, report: tuple[float, ...] | None) -> None:
-        """Load a core as an engine reports it: queries held where told, else busy share and line."""
-        told = dict(zip(self.set.report_fields, report or (), strict=False))
-        engine.load = told.get("util", 0.0) + told.get("queue", 0.0) / engine.cores
-        if (held := told.get("inflight")) is not None:  # as threads, by own queries' classes and times
-            engine.mine, engine.others = engine.threads, max(0.0, held * self.mix.threads - engine.threads)
-            pages = held * self.mix.memory / engine.memory * self.set.shortage_pages  # all of it slows there
-            engine.load = max(held * self.mix.threads / (engine.cores * THREADS_A_CORE), pages)
-        engine.heard_at = self.now
-
-    def _slow(self, engine: Engine) -> float:
-        """How slow it was to the last queries sent there; those that are out tell before they end."""
-        late = [(self.now - max(q.sent_at, self.back_at)) / q.expected for q in engine.out.values()]
-        return max(engine.slowdown(self.now, self.ordinary), max(late, default=0.0) / OVERDUE * self.ordinary)
-
-    def _told_load(self, engine: Engine) -> float:
-        """Its load as told: a high one drains no faster than its queries end, a low one rises to the mean."""
-        left, fresh = (math.exp((engine.heard_at - self.now) / by) for by in (self.mix.stay, NEWS_FOR))
+    def _apply_report(self, engine: Engine, report: tuple[float, ...] | None) -> None:
+        """Take an engine's load per core from its report: by the requests in flight where it reports them,
+        else by its utilization and queue."""
+        reported = dict(zip(self.set.report_fields, report or (), strict=False))
+        engine.load = reported.get("util", 0.0) + reported.get("queue", 0.0) / engine.cores
+        # Requests in flight count as threads by the mix of classes and latencies that this gateway sees.
+        if (in_flight := reported.get("inflight")) is not None:
+            engine.own_threads, engine.other_threads = (
+                engine.threads,
+                max(0.0, in_flight * self.mix.threads - engine.threads),
+            )
+            # Memory over the engine's own slows all work there.
+            memory_load = in_flight * self.mix.memory / engine.memory * self.set.shortage_pages
+            engine.load = max(in_flight * self.mix.threads / (engine.cores * THREADS_A_CORE), memory_load)
+        engine.load_at = self.now
+
+    def _slowdown(self, engine: Engine) -> float:
+        """An engine's slowdown by its last answers. A late attempt in flight counts before it ends."""
+        late = [
+            (self.now - max(q.sent_at, self.resumed_at)) / q.expected_latency for q in engine.out.values()
+        ]
+        return max(
+            engine.slowdown(self.now, self.ordinary),
+            max(late, default=0.0) / OVERDUE_FACTOR * self.ordinary,
+        )
+
+    def _estimated_load(self, engine: Engine) -> float:
+        """An engine's load since its last report: a high one falls no faster than its requests end, a low one
+        rises to the fleet's mean."""
+        left, fresh = (math.exp((engine.load_at - self.now) / by) for by in (self.mix.latency, GOSSIP_FADE))
         return max(left * engine.load, self.mean_load + fresh * (engine.load - self.mean_load))
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -1,11 +1,11 @@
-"""Gateways for tests of the module alone: small ones, thin ones of many, and what they say."""
+"""Gateways for tests of the decision module without I/O, and helpers that feed them events."""
 
 from __future__ import annotations
 
 from aspenrill import api
 from aspenrill.api import Effect, EngineEntry, EngineState, ListMode, ListUpdate
 from aspenrill.control import Gateway
-from aspenrill.state import pack_news
+from aspenrill.state import pack_gossip
 
 LOOKUP = api.QueryClass(aim=1.0, patience=5.0, effect=Effect.SAFE)
 REPORT = api.QueryClass(aim=2.0, patience=20.0, effect=Effect.SAFE, worth=6, threads=2, aim_stretch=2.5)
@@ -25,7 +25,7 @@
     return [a for a in actions if isinstance(a, api.Refuse | api.Fail)]
 
 
-def fill(g: Gateway, count: int, start: int = 0) -> None:
+def send_requests(g: Gateway, count: int, start: int = 0) -> None:
     for i in range(start, start + count):
         g.handle(0.1, api.Request(f"r{i}", 0, 5.0))
 
@@ -38,11 +38,11 @@
     return out
 
 
-def press(g: Gateway) -> None:
+def slow_down(g: Gateway) -> None:
     g.ordinary = 5.0
 
 
-def thin(n: int, *names: str, seed: int = 1, cores: int = 8, **more) -> Gateway:
+def probing_gateway(n: int, *names: str, seed: int = 1, cores: int = 8, **more) -> Gateway:
     rules = dict(may_probe=True, start_capacity=0.3, cold_for=10.0, fall_multiple=3.0, fall_window=2.0) | more
     settings = api.Settings(classes=(LOOKUP, REPORT), cores_by_kind=(cores,), gateways=n, **rules)
     g = Gateway(settings, seed, 0.0)
@@ -50,11 +50,11 @@
     return g
 
 
-def newsy(n: int, *names: str, **more) -> Gateway:
-    """One of many gateways that may not probe but may tell."""
+def gossiping_gateway(n: int, *names: str, **more) -> Gateway:
+    """One of `n` gateways that may gossip but not probe."""
     rules = dict(may_probe=False, may_tell=True, tell_price=0.01, report_fields=("inflight",))
-    return thin(n, *names, **rules, **more)
+    return probing_gateway(n, *names, **rules, **more)
 
 
-def told(g: Gateway, now: float, *items: tuple[str, float]) -> list:
-    return g.handle(now, api.PeerMessage(3, pack_news([(g.fleet.engines[e], load) for e, load in items])))
+def receive_gossip(g: Gateway, now: float, *items: tuple[str, float]) -> list:
+    return g.handle(now, api.PeerMessage(3, pack_gossip([(g.fleet.engines[e], load) for e, load in items])))
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -1,150 +1,165 @@
-"""Who comes in, who waits in line, who is refused. The module alone, without the bench."""
+"""Admission: which requests start, which are queued and which are refused. Without the simulator."""
 
 from __future__ import annotations
 
 import pytest
-from gateways import LOOKUP, REPORT, answers, fill, gateway, newsy, press, sends, timers, told
+from gateways import (
+    LOOKUP,
+    REPORT,
+    answers,
+    gateway,
+    gossiping_gateway,
+    receive_gossip,
+    send_requests,
+    sends,
+    slow_down,
+    timers,
+)
 
 from aspenrill import api
 from aspenrill.api import AttemptEnded, Outcome
-from aspenrill.policy.admission import LADDER, TOP
+from aspenrill.policy.admission import GAP_STEP, MAX_LEVEL
 
 
-def test_limit_binds_only_under_pressure_and_leaves_room_for_one():
+def test_thread_limit_applies_only_under_pressure_and_admits_at_least_one():
     g = gateway("a", gateways=4)
-    g.sparse = False  # as where engines are no fewer than gateways
-    fill(g, 5)
+    g.uses_capacity_share = False  # as with no more gateways than engines
+    send_requests(g, 5)
     assert len(g.fleet.engines["a"].out) == 5
-    press(g)
+    slow_down(g)
     assert not sends(g.handle(0.2, api.Request("x", 0, 5.0)))
     idle = gateway("a", gateways=4)
-    press(idle)
+    slow_down(idle)
     assert sends(idle.handle(0.2, api.Request("x", 1, 20.0)))
 
 
-def test_held_queries_leave_first_come():
+def test_queued_requests_start_in_order_of_arrival():
     g = gateway("a", gateways=4)
-    fill(g, 4)
-    press(g)
+    send_requests(g, 4)
+    slow_down(g)
     g.classes[0].latency = 0.2
-    g.starts.extend([0.1] * 50)
+    g.send_times.extend([0.1] * 50)
     for name in ("first", "second"):
         assert not [a for a in g.handle(0.2, api.Request(name, 0, 5.0)) if not isinstance(a, api.SetTimer)]
     out = []
     for i in range(4):
         out += sends(g.handle(0.3, AttemptEnded(f"r{i}", 0, "a", Outcome.OK, 0.2, True)))
-        press(g)
+        slow_down(g)
     assert [s.request for s in out][:2] == ["first", "second"]
 
 
-def test_queue_time_out_is_time_left_less_the_learned_latency():
+def test_queue_timeout_is_time_left_less_the_known_latency():
     g = gateway("a")
-    fill(g, 1)
-    query = g.queries["r0"]
-    assert g._tt(query) == pytest.approx(0.0)  # the aim stands in for the latency until learned
+    send_requests(g, 1)
+    pending = g.queries["r0"]
+    assert g._queue_timeout(pending) == pytest.approx(
+        0.0
+    )  # the latency target stands in until a latency is known
     g.classes[0].latency = 0.4
-    assert g._tt(query) == pytest.approx(0.6)
+    assert g._queue_timeout(pending) == pytest.approx(0.6)
 
 
-def test_a_request_without_time_left_is_answered_at_once():
+def test_request_without_time_left_is_refused_at_once():
     g = gateway()
     assert answers(g.handle(0.1, api.Request("r", 0, 0.0))) == [api.Refuse("r")]
 
 
-def test_rungs_rise_by_what_r_proves_and_stop_at_the_top():
+def test_gap_level_rises_by_the_loss_ratio_up_to_the_highest():
     g = gateway("a")
-    for r, rungs in ((0.2, 0), (0.25, 1), (1 - LADDER**-3 + 0.01, 3), (1.0, TOP)):
-        g.rung, g.look_at, g.now = 0, 0.0, 1.0
-        g.entered.clear()
-        g.lost.clear()
-        g.entered.extend([0.5] * 1000)
-        g.lost.extend([0.5] * round(1000 * r))
-        g._step_gap()
-        assert g.rung == rungs, r
+    for r, levels in ((0.2, 0), (0.25, 1), (1 - GAP_STEP**-3 + 0.01, 3), (1.0, MAX_LEVEL)):
+        g.rung, g.next_gap_check_at, g.now = 0, 0.0, 1.0
+        g.entry_times.clear()
+        g.loss_times.clear()
+        g.entry_times.extend([0.5] * 1000)
+        g.loss_times.extend([0.5] * round(1000 * r))
+        g._update_gap()
+        assert g.rung == levels, r
 
 
-def test_gap_falls_one_rung_a_wait():
+def test_gap_falls_one_level_per_window():
     g = gateway("a")
-    g.rung, g.gap_until, g.now = 4, 100.0, 10.0
-    g._step_gap()
+    g.rung, g.gap_kept_until, g.now = 4, 100.0, 10.0
+    g._update_gap()
     g.now += 0.1
-    g._step_gap()
+    g._update_gap()
     assert g.rung == 3
 
 
-def test_refusals_by_the_gap_are_not_counted():
+def test_refusals_by_the_gap_are_not_losses():
     g = gateway("a")
-    g.rung, g.base_gap, g.next_entry = TOP, 1.0, 99.0
+    g.rung, g.base_gap, g.next_entry_at = MAX_LEVEL, 1.0, 99.0
     assert answers(g.handle(0.1, api.Request("r", 1, 20.0, work=500.0)))
-    assert not g.lost and not g.entered
+    assert not g.loss_times and not g.entry_times
 
 
-def test_small_queries_pass_beside_the_gap():
+def test_small_requests_bypass_the_gap():
     g = gateway("a")
     for c in g.classes:
-        c.work, c.scale = 1.0, 1.0
-    g.rung, g.base_gap, g.next_entry = TOP, 1.0, 99.0
+        c.work, c.work_scale = 1.0, 1.0
+    g.rung, g.base_gap, g.next_entry_at = MAX_LEVEL, 1.0, 99.0
     assert sends(g.handle(0.1, api.Request("r", 0, 5.0, work=0.01)))
 
 
-@pytest.mark.parametrize("longest, rung, told", [(2.0, 0, 0.25), (2.0, 1, 0.9), (0.5, 1, 0.5), (0.0, 1, 0.0)])
-def test_a_refusal_comes_at_once_and_says_when_to_come_back(longest, rung, told):
-    # clients that are told nothing ask again the moment they are turned away
-    g = gateway(longest_come_back=longest)  # no engine is there
-    g.rung, g.next_entry = rung, 1.0  # when the gap lets in the next
+@pytest.mark.parametrize(
+    "longest, gap_level, retry_after", [(2.0, 0, 0.25), (2.0, 1, 0.9), (0.5, 1, 0.5), (0.0, 1, 0.0)]
+)
+def test_refusal_is_immediate_and_has_a_retry_after_hint(longest, gap_level, retry_after):
+    # Without a hint clients repeat a refused request at once.
+    g = gateway(longest_come_back=longest)  # without engines
+    g.rung, g.next_entry_at = gap_level, 1.0  # when the gap admits the next request
     refused = []
-    for at in range(20):  # first come first held, and those beyond are answered in the same breath
+    for at in range(20):  # the first are queued, the others are refused at once
         refused += answers(g.handle(0.1, api.Request(f"r{at}", 0, 5.0)))
-    assert refused and all(a.come_back == pytest.approx(told) for a in refused)
+    assert refused and all(a.come_back == pytest.approx(retry_after) for a in refused)
 
 
-def test_a_window_spans_enough_entries_at_a_slow_gateway():
+def test_window_is_extended_until_it_has_enough_entries():
     g = gateway("a")
-    g.now, g.look_at = 20.0, 0.0
-    g.entered.extend(range(2, 20, 2))
-    g.entered.append(19)
-    g.lost.extend([3.0, 5.0, 7.0, 9.0])
-    g._step_gap()
+    g.now, g.next_gap_check_at = 20.0, 0.0
+    g.entry_times.extend(range(2, 20, 2))
+    g.entry_times.append(19)
+    g.loss_times.extend([3.0, 5.0, 7.0, 9.0])
+    g._update_gap()
     assert g.rung == 1
 
 
-def test_a_high_load_told_by_others_widens_the_gap_before_own_queries_are_lost():
-    g = newsy(9, "a", "b")
+def test_gossiped_high_load_widens_the_gap_before_own_losses():
+    g = gossiping_gateway(9, "a", "b")
     for i in range(12):
         g.handle(0.1, api.Request(f"r{i}", 0, 5.0))
-    told(g, 1.0, ("a", 3.0), ("b", 3.0))
+    receive_gossip(g, 1.0, ("a", 3.0), ("b", 3.0))
     timers(g, 3.0)
-    assert g.rung > 0 and not g.lost
+    assert g.rung > 0 and not g.loss_times
 
 
-def test_a_query_far_dearer_than_its_worth_does_not_take_the_gap_of_all_others():
-    g = newsy(9, "a", "b")
-    g.rung, g.base_gap, g.classes[0].scale = 2, 0.01, 1.0
+def test_request_of_high_cost_does_not_use_up_the_gap_of_others():
+    g = gossiping_gateway(9, "a", "b")
+    g.rung, g.base_gap, g.classes[0].work_scale = 2, 0.01, 1.0
     assert answers(g.handle(0.1, api.Request("dear", 0, 60.0, work=40.0)))
     assert sends(g.handle(0.11, api.Request("usual", 0, 5.0, work=0.9)))
 
 
 def test_one_jammed_engine_does_not_throttle_the_fleet():
-    g = newsy(99, *(f"e{i}" for i in range(20)))
-    fill(g, 12)
-    told(g, 1.0, *((f"e{i}", 7.0 if i == 0 else 0.8) for i in range(20)))
+    g = gossiping_gateway(99, *(f"e{i}" for i in range(20)))
+    send_requests(g, 12)
+    receive_gossip(g, 1.0, *((f"e{i}", 7.0 if i == 0 else 0.8) for i in range(20)))
     timers(g, 3.0)
     assert not g.rung
 
 
-def test_lost_answers_do_not_widen_the_gap_where_the_told_load_is_low():
-    g = newsy(9, "a", "b")
+def test_lost_answers_do_not_widen_the_gap_while_the_gossiped_load_is_low():
+    g = gossiping_gateway(9, "a", "b")
     for i in range(20):
         g.handle(0.1, api.Request(f"r{i}", 0, 1.0))
-    for name, query in list(g.out.items()):
-        g.handle(1.1, AttemptEnded(name, 0, query.engine.entry.engine, Outcome.TIMEOUT, 1.0, False))
-    told(g, 1.1, ("a", 0.3), ("b", 0.3))
+    for name, pending in list(g.out.items()):
+        g.handle(1.1, AttemptEnded(name, 0, pending.engine.entry.engine, Outcome.TIMEOUT, 1.0, False))
+    receive_gossip(g, 1.1, ("a", 0.3), ("b", 0.3))
     timers(g, 4.0)
-    assert not g.lost and not g.rung
+    assert not g.loss_times and not g.rung
 
 
-def test_a_gateway_that_falls_behind_refuses_little_worth_first():
-    # taking on what it cannot carry out in time made every answer late
+def test_gateway_that_falls_behind_refuses_the_least_worth_first():
+    # A gateway that admitted more than it could process in time answered every request late.
     g = gateway("a", classes=(LOOKUP, REPORT))
     assert sends(g.handle(0.0, api.Request("r1", 0, 5.0)))
     assert answers(g.handle(0.0, api.Request("r2", 0, 5.0, waited=0.1)))
--- a/tests/test_policy_outcomes.py
+++ b/tests/test_policy_outcomes.py
@@ -1,17 +1,17 @@
-"""What follows from the end of an attempt. The module alone, without the bench."""
+"""What the end of an attempt and a note lead to. Without the simulator."""
 
 from __future__ import annotations
 
 import random
 
 import pytest
-from gateways import LOOKUP, answers, gateway, newsy, sends, timers
+from gateways import LOOKUP, answers, gateway, gossiping_gateway, sends, timers
 
 from aspenrill import api
 from aspenrill.api import AttemptEnded, Effect, Outcome
 
 
-def test_a_bad_plan_is_started_afresh_where_cancel_frees_the_engine():
+def test_bad_plan_is_restarted_where_cancel_frees_the_engine():
     for may_cancel in (True, False):
         g = gateway("a", may_cancel=may_cancel)
         g.handle(0.1, api.Request("r", 1, 20.0))
@@ -19,7 +19,7 @@
         assert (api.Cancel("r", 0) in g.handle(2.1, note)) is may_cancel
 
 
-def test_a_keyed_request_is_not_repeated_past_its_window():
+def test_keyed_request_is_not_repeated_after_its_window():
     keyed = api.QueryClass(aim=9.0, patience=20.0, effect=Effect.KEYED, dedup_window=1.0)
     for took, again in ((0.5, True), (1.5, False)):
         g = gateway("a", "b", classes=(keyed,))
@@ -30,7 +30,7 @@
         assert bool(sends(actions)) is again and bool(answers(actions)) is not again
 
 
-def test_the_budget_counts_what_lies_on_the_edge_of_its_span():
+def test_retry_budget_counts_retries_on_the_edge_of_its_span():
     g = gateway("a", "b", retry_free=1, retry_ratio=0.0, retry_span=5.0)
     g.classes[0].latency = 0.2
     for at, name in ((1.0, "r"), (6.0, "s")):
@@ -41,13 +41,13 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_further_attempts_stay_in_the_budget_through_bursts_and_lulls(seed):
+def test_retries_stay_in_the_budget_through_bursts_and_pauses(seed):
     rng = random.Random(seed)
-    g = newsy(9, *"abcd", retry_free=2, retry_ratio=0.1, retry_span=10.0, most_attempts=4)
+    g = gossiping_gateway(9, *"abcd", retry_free=2, retry_ratio=0.1, retry_span=10.0, most_attempts=4)
     g.classes[0].latency, now, n = 0.1, 0.0, 0
     taken, extra, first = [], [], set()
 
-    def see(actions):
+    def check(actions):
         for send in sends(actions):
             if send.request in first:
                 extra.append(now)
@@ -60,18 +60,18 @@
         for _ in range(rng.choice([0, 0, 1, 5])):
             n += 1
             taken.append(now)
-            see(g.handle(now, api.Request(f"r{n}", 0, 5.0)))
-        for name, query in list(g.out.items()):
-            bad = rng.choice([Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.OK])
-            engine = query.engine.entry.engine
-            last = len(query.attempts) - 1
-            see(g.handle(now, AttemptEnded(name, last, engine, bad, 0.1, bad is Outcome.OK)))
-        see(timers(g, now))
+            check(g.handle(now, api.Request(f"r{n}", 0, 5.0)))
+        for name, pending in list(g.out.items()):
+            outcome = rng.choice([Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.OK])
+            engine = pending.engine.entry.engine
+            last = len(pending.attempts) - 1
+            check(g.handle(now, AttemptEnded(name, last, engine, outcome, 0.1, outcome is Outcome.OK)))
+        check(timers(g, now))
     assert extra
 
 
-def test_a_long_query_is_not_started_afresh_again_and_again():
-    # its work is its own: without a credit every query of a wide spread was cancelled until it was refused
+def test_long_request_is_not_restarted_repeatedly():
+    # Its work is truly long: without the restart credit each such request was cancelled until it was refused.
     g = gateway("a", "b", may_cancel=True, most_attempts=5)
     cancels = 0
     for i in range(20):
@@ -84,11 +84,11 @@
     assert 1 <= cancels <= 4
 
 
-def test_what_must_not_run_twice_is_not_started_afresh():
-    # its cancel would be its end: failed, for looking longer than others of its class
+def test_unsafe_request_is_not_restarted():
+    # A cancelled unsafe request fails: it would end because it takes longer than others of its class.
     once = api.QueryClass(aim=1.0, patience=60.0, effect=Effect.UNSAFE)
-    for spec, afresh in ((once, False), (LOOKUP, True)):
+    for spec, restarted in ((once, False), (LOOKUP, True)):
         g = gateway("a", classes=(spec,), may_cancel=True)
         g.handle(0.1, api.Request("r", 0, 60.0))
         note = api.AttemptNote("r", 0, "a", api.NoteKind.PROGRESS, 0.01)
-        assert any(isinstance(a, api.Cancel) for a in g.handle(1.1, note)) is afresh
+        assert any(isinstance(a, api.Cancel) for a in g.handle(1.1, note)) is restarted
--- a/tests/test_policy_sending.py
+++ b/tests/test_policy_sending.py
@@ -1,17 +1,17 @@
-"""What is sent, with which limits, and what is not sent. The module alone, without the bench."""
+"""Which attempts are sent, with which limits, and which are not sent. Without the simulator."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 import pytest
-from gateways import fill, gateway, sends, timers
+from gateways import gateway, send_requests, sends, timers
 
 from aspenrill import api
 from aspenrill.api import AttemptEnded, Effect, Outcome
 
 
-def test_an_attempt_leaves_time_for_another_where_its_answer_may_be_lost():
+def test_attempt_timeout_leaves_time_for_another_attempt():
     for effect, more, limited in (
         (Effect.SAFE, {}, True),
         (Effect.UNSAFE, {}, False),
@@ -35,16 +35,16 @@
             assert [s.engine for s in sends(timers(g, 1.0))] != [send.engine] and g.queries["r"].attempts[1:]
 
 
-def test_nothing_is_sent_for_what_is_out_or_ended():
+def test_nothing_is_sent_while_an_attempt_is_in_flight_or_after_the_end():
     g = gateway("a", "b")
-    fill(g, 1)
-    query = g.queries["r0"]
-    assert not g._send(query, g.fleet.engines["b"])  # one attempt out
+    send_requests(g, 1)
+    pending = g.queries["r0"]
+    assert not g._send(pending, g.fleet.engines["b"])  # one attempt is in flight
     g.handle(0.2, AttemptEnded("r0", 0, "a", Outcome.OK, 0.1, True))
-    assert not g._send(query, g.fleet.engines["b"])  # its end was told
+    assert not g._send(pending, g.fleet.engines["b"])  # the request has ended
 
 
-def test_grants_are_ample_where_only_memory_in_use_counts():
+def test_grants_are_larger_where_engines_page():
     for pages, most in ((True, 4.0), (False, 1.0)):
         g = gateway("a", grants_heeded=True, shortage_pages=pages)
         actions = g.handle(0.1, api.Request("r", 0, 5.0, memory_mb=100.0))
@@ -60,57 +60,59 @@
     return AttemptEnded(send.request, number, send.engine, outcome, 0.1, False)
 
 
-def cool(g, now: float, *names: str) -> None:
+def list_as_cold(g, now: float, *names: str) -> None:
     entries = tuple(api.EngineEntry(n, api.EngineState.LIVE, started=now) for n in names)
     g.handle(now, api.ListUpdate(api.ListMode.CHANGES, entries))
 
 
-def test_a_keyed_repeat_has_to_begin_while_its_key_is_known():
-    # a connection that came up late brought the repeat after the window: a second run
+def test_keyed_repeat_must_begin_within_the_dedup_window():
+    # Over a connection established late the repeat arrived after the window and ran a second time.
     g = gateway("a", "b", classes=(KEYED,))
     g.classes[0].latency = 0.1
     first = sends(g.handle(1.0, api.Request("r", 0, 30.0)))[0]
     again = sends(g.handle(5.0, ended(first, 0, Outcome.RESET)))[0]
     assert first.begin_within == 0.0 and again.begin_within == pytest.approx(2.0)
     assert not sends(g.handle(7.01, ended(again, 1, Outcome.MOOT)))
-    g = gateway("a", "b", classes=(KEYED,))  # what never ran needs no window
+    g = gateway("a", "b", classes=(KEYED,))  # a repeat of what never ran needs no window
     g.classes[0].latency = 0.1
     first = sends(g.handle(1.0, api.Request("r", 0, 30.0)))[0]
     assert sends(g.handle(8.0, ended(first, 0, Outcome.CONNECT_FAILED)))[0].begin_within == 0.0
 
 
-def test_a_turn_at_a_cold_engine_that_began_too_late_goes_to_another_and_comes_again():
+def test_late_slot_at_a_cold_engine_moves_the_request_to_another_engine():
     g = gateway("a", "b", **COLD)
     g.classes[0].work = g.classes[0].latency = 0.1
-    cool(g, 1.0, "a", "b")
+    list_as_cold(g, 1.0, "a", "b")
     for engine in g.live:
-        engine.turns = {0: 1.0, 1: 1.0}
+        engine.cold_slots = {0: 1.0, 1: 1.0}
     first = sends(g.handle(1.1, api.Request("r", 0, 5.0)))[0]
     assert first.begin_within == pytest.approx(0.15)
     again = sends(g.handle(1.5, ended(first, 0, Outcome.MOOT)))[0]
     late = g.fleet.engines[first.engine]
-    assert again.engine != first.engine and late.healthy and not late.strikes and not g.lost
-    assert 1.5 < late.turns[0] < 1.5 + 1.5
+    assert (
+        again.engine != first.engine and late.healthy and not late.consecutive_failures and not g.loss_times
+    )
+    assert 1.5 < late.cold_slots[0] < 1.5 + 1.5
 
 
 @pytest.mark.parametrize("gateways", [1, 40])
-def test_an_aim_that_is_stretch_alone_is_no_division_by_nothing(gateways):
+def test_zero_latency_target_does_not_divide_by_zero(gateways):
     spec = api.QueryClass(aim=0.0, patience=5.0, effect=Effect.SAFE, aim_stretch=2.0)
     g = gateway("a", "b", classes=(spec, spec), gateways=gateways, **COLD)
-    cool(g, 1.0, "b")
+    list_as_cold(g, 1.0, "b")
     assert sends(g.handle(1.1, api.Request("r", 0, 5.0)))
 
 
-def test_a_keyed_query_is_not_stopped_for_a_fresh_start_that_its_window_forbids():
-    for at, stopped in ((5.0, True), (8.0, False)):
+def test_keyed_request_is_not_cancelled_for_a_restart_after_its_window():
+    for at, cancelled in ((5.0, True), (8.0, False)):
         g = gateway("a", "b", classes=(KEYED,), may_cancel=True)
         g.classes[0].latency = g.classes[0].work = 0.1
         send = sends(g.handle(1.0, api.Request("r", 0, 30.0)))[0]
         note = api.AttemptNote("r", 0, send.engine, api.NoteKind.PROGRESS, 0.5)
-        assert any(isinstance(a, api.Cancel) for a in g.handle(at, note)) is stopped
+        assert any(isinstance(a, api.Cancel) for a in g.handle(at, note)) is cancelled
 
 
-def test_an_unsafe_query_that_a_note_told_of_is_not_sent_again_whatever_its_engine_says():
+def test_unsafe_request_with_a_note_is_never_sent_again():
     g = gateway("a", "b", classes=(replace(KEYED, effect=Effect.UNSAFE),))
     send = sends(g.handle(1.0, api.Request("r", 0, 30.0)))[0]
     g.handle(1.2, api.AttemptNote("r", 0, send.engine, api.NoteKind.PROGRESS, 0.5))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Property: whatever legal events come, the actions keep the seven rules."""
+"""Property: for any sequence of legal events the actions keep the seven rules."""
 
 from __future__ import annotations
 
@@ -14,73 +14,73 @@
 SLACK = 0.02
 
 
-class Judge:
-    """Plays engines and clients at random and holds the actions to the rules."""
+class RuleChecker:
+    """Simulates engines and clients at random and checks every action against the rules."""
 
     def __init__(self, seed: int, setup: api.Settings) -> None:
         self.rng, self.set, self.now = random.Random(seed), setup, 0.0
         self.gateway = Gateway(setup, seed, 0.0)
-        self.asks: dict[str, tuple[api.Request, float]] = {}
+        self.arrivals: dict[str, tuple[api.Request, float]] = {}
         self.done: dict[str, str] = {}
         self.out: dict[str, tuple[int, str, float]] = {}
-        self.tries: dict[str, list[tuple[str, float, Outcome | None]]] = {}
+        self.attempts: dict[str, list[tuple[str, float, Outcome | None]]] = {}
         self.entries: dict[str, api.EngineEntry] = {}
         self.timers: list[tuple[float, str]] = []
         self.probed: list[str] = []
-        self.heard = [bytes(range(256))]
-        self.taken: list[float] = []
-        self.extra: list[float] = []
-        self.order: dict[str, list[str]] = {}
-        self.rest: dict[str, float] = {}
-        self.cold: dict[str, list[tuple[float, float]]] = {}
-        self.usual = [0.0] * len(setup.classes)
+        self.peer_messages = [bytes(range(256))]
+        self.arrival_times: list[float] = []
+        self.retry_times: list[float] = []
+        self.key_order: dict[str, list[str]] = {}
+        self.key_backoff: dict[str, float] = {}
+        self.cold_sends: dict[str, list[tuple[float, float]]] = {}
+        self.highest_work = [0.0] * len(setup.classes)
 
-    def tell(self, event: api.Event) -> None:
+    def deliver(self, event: api.Event) -> None:
         for action in self.gateway.handle(self.now, event):
             match action:
                 case api.Send():
                     self.check_send(action)
                 case api.Refuse(request) | api.Fail(request):
                     assert request not in self.done, "two final answers"
-                    ask, came = self.asks[request]
-                    assert self.now <= came + ask.patience + SLACK, "answered too late"
+                    arrival, arrived_at = self.arrivals[request]
+                    assert self.now <= arrived_at + arrival.patience + SLACK, "answered too late"
                     if isinstance(action, api.Refuse):
-                        self.check_refusal(ask)
+                        self.check_refusal(arrival)
                     self.done[request] = "ended"
                 case api.Cancel(request, attempt):
-                    assert self.set.may_cancel and attempt < len(self.tries[request])
+                    assert self.set.may_cancel and attempt < len(self.attempts[request])
                 case api.Probe():
                     assert self.set.may_probe
                     self.probed.append(action.engine)
                 case api.Tell(data):
                     assert self.set.may_tell and 0 < len(data) <= 256
-                    self.heard.append(data)
+                    self.peer_messages.append(data)
                 case api.SetTimer(delay, name):
                     self.timers.append((self.now + delay, name))
 
     def ran(self, request: str) -> list[tuple[str, float, Outcome | None]]:
-        return [t for t in self.tries.get(request, []) if t[2] is None or not t[2].never_ran]
+        return [t for t in self.attempts.get(request, []) if t[2] is None or not t[2].never_ran]
 
-    def check_refusal(self, ask: api.Request) -> None:
-        spec = self.set.classes[ask.cls]
-        if self.ran(ask.request):
+    def check_refusal(self, arrival: api.Request) -> None:
+        spec = self.set.classes[arrival.cls]
+        if self.ran(arrival.request):
             assert spec.effect is Effect.SAFE or (
                 spec.effect is Effect.KEYED and spec.dedup_scope == "all"
-            ), "refusal that may do harm"
+            ), "refused, though a repeat may do harm"
 
     def check_send(self, send: api.Send) -> None:
-        ask, came = self.asks[send.request]
-        spec, entry = self.set.classes[ask.cls], self.entries[send.engine]
+        arrival, arrived_at = self.arrivals[send.request]
+        spec, entry = self.set.classes[arrival.cls], self.entries[send.engine]
         assert send.request not in self.done, "sent after its end"
-        assert send.request not in self.out, "two attempts out"
+        assert send.request not in self.out, "two attempts in flight"
         assert entry.state is EngineState.LIVE, "sent to a draining or gone engine"
         assert spec.only_kinds is None or entry.kind in spec.only_kinds, "wrong kind"
         assert spec.only_zones is None or entry.zone in spec.only_zones, "wrong zone"
-        before = self.tries.setdefault(send.request, [])
+        before = self.attempts.setdefault(send.request, [])
         assert len(before) < self.set.most_attempts, "too many attempts"
         ran = self.ran(send.request)
         if ran:
-            assert spec.effect is not Effect.UNSAFE, "an unsafe effect twice"
+            assert spec.effect is not Effect.UNSAFE, "an unsafe request ran twice"
             if spec.effect is Effect.KEYED:
                 assert self.now < ran[0][1] + spec.dedup_window, "after the window"
                 first = self.entries[ran[0][0]]
@@ -88,48 +88,54 @@
                     entry, spec.dedup_scope
                 ), "outside the group"
         if before:
-            self.extra.append(self.now)
+            self.retry_times.append(self.now)
             if self.set.retry_ratio is not None:
                 span = self.now - self.set.retry_span
-                count = sum(t > span for t in self.extra)
+                count = sum(t > span for t in self.retry_times)
                 assert count <= self.set.retry_free + self.set.retry_ratio * sum(
-                    t > span for t in self.taken
+                    t > span for t in self.arrival_times
                 ), "over the retry budget"
-        if spec.in_order and ask.key is not None and self.set.key_rest is not None:
-            for earlier in self.order[ask.key]:
+        if spec.in_order and arrival.key is not None and self.set.key_rest is not None:
+            for earlier in self.key_order[arrival.key]:
                 if earlier == send.request:
                     break
-                assert earlier in self.done and earlier not in self.out, "out of turn"
+                assert earlier in self.done and earlier not in self.out, "out of order"
             if not before:
-                assert self.now >= self.rest.get(ask.key, 0.0), "key not rested"
+                assert self.now >= self.key_backoff.get(arrival.key, 0.0), "key still backed off"
         if entry.started and self.now < entry.started + self.set.cold_for:
-            work = self.gateway.classes[ask.cls].usual_work()
-            line = self.cold.setdefault(send.engine, [])
-            line.append((self.now, work))
-            bears = self.set.fall_multiple * self.set.start_capacity * self.set.cores_by_kind[entry.kind]
-            dealt = bears / self.set.gateways * (self.now - entry.started)
-            self.usual = [
+            work = self.gateway.classes[arrival.cls].usual_work()
+            sends = self.cold_sends.setdefault(send.engine, [])
+            sends.append((self.now, work))
+            max_work = self.set.fall_multiple * self.set.start_capacity * self.set.cores_by_kind[entry.kind]
+            allotted = max_work / self.set.gateways * (self.now - entry.started)
+            self.highest_work = [
                 max(pair)
-                for pair in zip(self.usual, (c.usual_work() for c in self.gateway.classes), strict=True)
+                for pair in zip(
+                    self.highest_work, (c.usual_work() for c in self.gateway.classes), strict=True
+                )
             ]
-            most = 2 * sum(self.usual)  # those before were dealt out by what was usual then
-            assert sum(w for _, w in line) <= dealt + most, "more than its turns at a cold engine"
+            most = 2 * sum(self.highest_work)  # earlier slots were sized by the typical work of their time
+            assert sum(w for _, w in sends) <= allotted + most, "more than its slots at a cold engine"
         before.append((send.engine, self.now, None))
         limit = send.timeout or 1e9
-        self.out[send.request] = (len(before) - 1, send.engine, min(self.now + limit, came + ask.patience))
+        self.out[send.request] = (
+            len(before) - 1,
+            send.engine,
+            min(self.now + limit, arrived_at + arrival.patience),
+        )
 
     def finish(self, request: str, outcome: Outcome) -> None:
         attempt, engine, _ = self.out.pop(request)
-        _, sent, _ = self.tries[request][attempt]
-        self.tries[request][attempt] = (engine, sent, outcome)
-        ask = self.asks[request][0]
+        _, sent, _ = self.attempts[request][attempt]
+        self.attempts[request][attempt] = (engine, sent, outcome)
+        arrival = self.arrivals[request][0]
         closed = request in self.done or outcome is Outcome.OK
         if outcome is Outcome.OK:
             self.done.setdefault(request, "served")
-        if outcome.may_still_run and ask.key is not None and self.set.key_rest is not None:
-            self.rest[ask.key] = self.now + self.set.key_rest
+        if outcome.may_still_run and arrival.key is not None and self.set.key_rest is not None:
+            self.key_backoff[arrival.key] = self.now + self.set.key_rest
         work = self.rng.random() * 3 if self.set.costs_told and outcome is Outcome.OK else None
-        self.tell(
+        self.deliver(
             api.AttemptEnded(
                 request,
                 attempt,
@@ -146,20 +152,22 @@
         self.now += self.rng.choice([0.0, 0.005, 0.005, 0.015])
         for due in sorted(t for t in self.timers if t[0] <= self.now):
             self.timers.remove(due)
-            self.tell(api.TimerDue(due[1]))
+            self.deliver(api.TimerDue(due[1]))
         for request, (_, _, limit) in list(self.out.items()):
             if self.now >= limit:
                 self.finish(request, Outcome.TIMEOUT)
         while self.probed:
             ok = self.rng.random() < 0.8
             outcome = Outcome.OK if ok else self.rng.choice([Outcome.TIMEOUT, Outcome.FULL, Outcome.ERROR])
-            self.tell(api.ProbeEnded(self.probed.pop(), outcome, 0.01, (self.rng.random(),) if ok else None))
-        dice = self.rng.random()
-        if dice < 0.5:
-            n = len(self.asks)
+            self.deliver(
+                api.ProbeEnded(self.probed.pop(), outcome, 0.01, (self.rng.random(),) if ok else None)
+            )
+        draw = self.rng.random()
+        if draw < 0.5:
+            n = len(self.arrivals)
             cls = self.rng.randrange(len(self.set.classes))
             spec = self.set.classes[cls]
-            ask = api.Request(
+            arrival = api.Request(
                 f"r{n}",
                 cls,
                 self.rng.choice([0.001, 0.3, 1.0]) * spec.patience,
@@ -168,23 +176,23 @@
                 work=self.rng.choice([None, 0.1, 2.0]),
                 data_set=self.rng.randrange(4),
             )
-            self.asks[ask.request] = (ask, self.now)
-            self.taken.append(self.now)
-            if spec.in_order and ask.key is not None:
-                self.order.setdefault(ask.key, []).append(ask.request)
-            self.tell(ask)
-        elif dice < 0.9 and self.out:
+            self.arrivals[arrival.request] = (arrival, self.now)
+            self.arrival_times.append(self.now)
+            if spec.in_order and arrival.key is not None:
+                self.key_order.setdefault(arrival.key, []).append(arrival.request)
+            self.deliver(arrival)
+        elif draw < 0.9 and self.out:
             request = self.rng.choice(sorted(self.out))
             self.finish(request, self.rng.choice([Outcome.OK] * 5 + [o for o in Outcome]))
-        elif dice < 0.95:
+        elif draw < 0.95:
             self.change_list()
-        elif dice < 0.96 and self.asks:
-            request = self.rng.choice(sorted(self.asks))
+        elif draw < 0.96 and self.arrivals:
+            request = self.rng.choice(sorted(self.arrivals))
             if request not in self.done:
                 self.done[request] = "gone"
-                self.tell(api.ClientGone(request))
-        elif dice < 0.98:
-            self.tell(api.PeerMessage(1, self.rng.choice(self.heard)))
+                self.deliver(api.ClientGone(request))
+        elif draw < 0.98:
+            self.deliver(api.PeerMessage(1, self.rng.choice(self.peer_messages)))
 
     def change_list(self) -> None:
         name = f"e{self.rng.randrange(5)}"
@@ -194,12 +202,12 @@
         state = self.rng.choice([EngineState.LIVE] * 3 + [EngineState.DRAINING, EngineState.GONE])
         started = self.now if self.rng.random() < 0.3 else (old.started if old else 0.0)
         if started == self.now:
-            self.cold.pop(name, None)
+            self.cold_sends.pop(name, None)
         self.entries[name] = api.EngineEntry(name, state, kind, zone, cell, started)
         if self.rng.random() < 0.2:
-            self.tell(api.ListUpdate(ListMode.COMPLETE, tuple(self.entries.values())))
+            self.deliver(api.ListUpdate(ListMode.COMPLETE, tuple(self.entries.values())))
         else:
-            self.tell(api.ListUpdate(ListMode.CHANGES, (self.entries[name],)))
+            self.deliver(api.ListUpdate(ListMode.CHANGES, (self.entries[name],)))
 
 
 def classes(scope: str, order: bool) -> tuple[api.QueryClass, ...]:
@@ -228,12 +236,12 @@
     order=st.booleans(),
     budget=st.booleans(),
     cancel=st.booleans(),
-    told=st.booleans(),
+    reported=st.booleans(),
     gateways=st.integers(1, 12),
-    ask=st.booleans(),
+    watch_list=st.booleans(),
     probe=st.booleans(),
 )
-def test_rules_hold_under_any_events(seed, scope, order, budget, cancel, told, gateways, ask, probe):
+def test_rules_hold_for_any_events(seed, scope, order, budget, cancel, reported, gateways, watch_list, probe):
     setup = api.Settings(
         classes=classes(scope, order),
         cores_by_kind=(4, 8),
@@ -241,11 +249,11 @@
         may_cancel=cancel,
         may_tell=not cancel,
         tell_price=0.01,
-        shortage_pages=ask,
+        shortage_pages=watch_list,
         memory_by_kind=(4096.0, 8192.0),
-        costs_told=told,
-        grants_heeded=told,
-        priorities_heeded=told,
+        costs_told=reported,
+        grants_heeded=reported,
+        priorities_heeded=reported,
         longest_come_back=1.0,
         start_capacity=0.3,
         cold_for=10.0,
@@ -255,23 +263,23 @@
         retry_free=2 if budget else None,
         retry_ratio=0.05 if budget else None,
         retry_span=5.0,
-        ask_for_list=ask,
+        ask_for_list=watch_list,
         may_probe=probe,
         report_fields=("util",) if probe else (),
     )
-    judge = Judge(seed, setup)
-    judge.entries = {
+    checker = RuleChecker(seed, setup)
+    checker.entries = {
         f"e{i}": api.EngineEntry(f"e{i}", EngineState.LIVE, i % 2, i % 2, i % 2) for i in range(4)
     }
-    judge.tell(api.ListUpdate(ListMode.REMEMBERED, tuple(judge.entries.values())))
+    checker.deliver(api.ListUpdate(ListMode.REMEMBERED, tuple(checker.entries.values())))
     for _ in range(600):
-        judge.step()
-    for _ in range(200):  # all comes to its end
-        judge.now += 0.02
-        for due in sorted(t for t in judge.timers if t[0] <= judge.now):
-            judge.timers.remove(due)
-            judge.tell(api.TimerDue(due[1]))
-        for request, (_, _, limit) in list(judge.out.items()):
-            if judge.now >= limit:
-                judge.finish(request, Outcome.TIMEOUT)
-    assert set(judge.done) == set(judge.asks), "a request was lost"
+        checker.step()
+    for _ in range(200):  # let every request end
+        checker.now += 0.02
+        for due in sorted(t for t in checker.timers if t[0] <= checker.now):
+            checker.timers.remove(due)
+            checker.deliver(api.TimerDue(due[1]))
+        for request, (_, _, limit) in list(checker.out.items()):
+            if checker.now >= limit:
+                checker.finish(request, Outcome.TIMEOUT)
+    assert set(checker.done) == set(checker.arrivals), "a request was lost"
