--- a/aspenrill/core/__init__.py
+++ b/aspenrill/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes: what is open, and the one task that owns the decision module."""
+"""Open requests, attempts and outcomes, and the task that runs the decision module."""
--- a/aspenrill/core/books.py
+++ b/aspenrill/core/books.py
@@ -1,4 +1,4 @@
-"""The books: requests that are open, attempts that are out, engines by id. Plain records."""
+"""Records of open requests, attempts in flight and engines, and the events that the owner processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """Rows as an engine gave them: as `text` with tabs and line feeds in `pages`, or as `tokens` of TDS."""
+    """The rows of an answer. `form` is `text` (tabs and line feeds, in `pages`) or `tokens` (of TDS)."""
 
     form: str
     pages: tuple[bytes, ...] = ()
@@ -24,21 +24,21 @@
 
 @dataclass(slots=True)
 class Served:
-    """Final answer: all rows."""
+    """Final answer: all rows of the result."""
 
     result: Result
 
 
 @dataclass(frozen=True)
 class Refused:
-    """Final answer: trying again is harmless, after `come_back` seconds if given."""
+    """Final answer: a repeat does no harm; `come_back` is a hint when, in seconds (0: none)."""
 
     come_back: float = 0.0
 
 
 @dataclass(frozen=True)
 class Failed:
-    """Final answer: nothing is promised of the effect."""
+    """Final answer: the request may or may not have had its effect."""
 
     reason: str = ""
 
@@ -48,7 +48,7 @@
 
 @dataclass(eq=False, slots=True)
 class Call:
-    """A request that a front has taken. Times are of the monotonic clock."""
+    """A request that a protocol front end has accepted. Times are of the monotonic clock."""
 
     id: str
     cls: int
@@ -56,50 +56,50 @@
     statement: bytes
     key: str | None
     data_set: int | None
-    arrived: float
+    arrived_at: float
     patience: float
     reply: Callable[[Call, Final], None]
     open: bool = True
-    gone: bool = False  # its client has left: its front says so here at once, and to the owner by `Left`
-    sends: int = 0
+    gone: bool = False  # its client has disconnected: set at once, before the owner gets the `Left` event
+    attempts_sent: int = 0
     first_sent_at: float = 0.0
     priority: int = 1
-    attempt: Attempt | None = None  # the one that is out
-    overtime: Any = None  # the timer past its deadline
-    tag: int = 0  # its front's own
+    attempt: Attempt | None = None  # in flight
+    deadline_timer: Any = None  # fires after the deadline
+    tag: int = 0  # for use by its protocol front end
 
     @property
     def deadline(self) -> float:
-        """When its client gives up."""
-        return self.arrived + self.patience
+        """When its client stops waiting."""
+        return self.arrived_at + self.patience
 
 
 @dataclass(eq=False, slots=True)
 class Peer:
-    """An engine as the roster names it. Connections belong to this record, not to the address."""
+    """An engine of the engine list. Connections belong to this record; an address may be reused."""
 
     engine: str
     address: tuple[str, int]
     state: EngineState
     started: float = 0.0
     idle: list[Any] = field(default_factory=list)
-    heads: dict[int, bytes] = field(default_factory=dict)  # by class: how requests to it begin
-    unreached: int = 0  # connections in a row that did not come up, since one did or it answered
+    heads: dict[int, bytes] = field(default_factory=dict)  # by class: the first bytes of each request to it
+    failed_connects: int = 0  # failed connects in a row, since one succeeded or it answered
     retired: bool = False  # replaced by another process or address
-    dialing: int = 0  # connections that are coming up
-    failed_at: float = -1e9  # when one last did not come up in time
-    broke_at: float = -1e9  # when it, or the way there, last ended a connection
-    waiting: deque = field(default_factory=deque)  # tasks that wait for a connection of its
+    dialing: int = 0  # connects in progress
+    failed_at: float = -1e9  # last connect that timed out
+    broke_at: float = -1e9  # last connection that the engine or the network ended
+    waiting: deque = field(default_factory=deque)  # tasks that wait for a connection to it
 
     @property
     def takes_work(self) -> bool:
-        """Neither draining nor gone."""
+        """Whether it is neither draining nor gone."""
         return self.state is EngineState.LIVE and not self.retired
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One try at an engine, out until its end is reported."""
+    """One send of a request to an engine, in flight until its end is reported."""
 
     call: Call
     peer: Peer
@@ -108,16 +108,16 @@
     priority: int
     task: Any = None
     cancelled: bool = False
-    begin_by: float = math.inf  # the last moment for its first byte: a repeat's window, a cold engine's turn
+    begin_by: float = math.inf  # limit for its first byte: by a repeat's window or a cold engine's slot
     began: float = field(default_factory=time.monotonic)
-    asked: float | None = None  # when the engine was last asked; None: no byte has gone out
-    heard: float = 0.0  # when it last said anything
-    spoilt: int = 0  # answers that could not be read
-    state: Any = None  # what its protocol keeps of it
+    asked: float | None = None  # when bytes were last sent to the engine; None: none yet
+    heard: float = 0.0  # when bytes last came from it
+    spoilt: int = 0  # malformed answers
+    state: Any = None  # for use by its protocol
 
     @property
     def wanted(self) -> bool:
-        """Still worth its first byte: client there, request open, time left, engine taking work."""
+        """Whether its first byte may still be sent: its request and its engine allow it, and time is left."""
         return (
             self.call.open
             and not self.call.gone
@@ -127,40 +127,40 @@
         )
 
 
-# ---- what reaches the owner's queue -------------------------------------------------------------------
+# ---- events of the owner's queue ----------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Asked:
-    """A front has taken a request."""
+    """A protocol front end has accepted a request."""
 
     call: Call
 
 
 @dataclass(slots=True)
 class Tired:
-    """A request has waited for another's answer as long as it may."""
+    """A request has waited for another request's answer as long as it may."""
 
     call: Call
 
 
 @dataclass(slots=True)
 class Left:
-    """The client of a request has gone."""
+    """The client of a request has disconnected or cancelled it."""
 
     call: Call
 
 
 @dataclass(slots=True)
 class Expired:
-    """A request is past its deadline and has no answer."""
+    """A request has no answer and its deadline has passed."""
 
     call: Call
 
 
 @dataclass(slots=True)
 class Ended:
-    """An attempt is over."""
+    """An attempt has ended."""
 
     attempt: Attempt
     outcome: Outcome
@@ -172,7 +172,7 @@
 
 @dataclass(slots=True)
 class Noted:
-    """A note on an attempt that is out."""
+    """A note on an attempt in flight."""
 
     attempt: Attempt
     kind: NoteKind
@@ -181,7 +181,7 @@
 
 @dataclass(slots=True)
 class Probed:
-    """What a probe brought."""
+    """A probe has ended."""
 
     peer: Peer
     outcome: Outcome
@@ -191,14 +191,14 @@
 
 @dataclass(slots=True)
 class Due:
-    """A timer of the module."""
+    """A timer of the decision module is due."""
 
     name: str
 
 
 @dataclass(slots=True)
 class Heard:
-    """What the module of another front end tells; the sender by its rank among all that are known."""
+    """Gossip of another front end's decision module. `sender` is its rank among all known front ends."""
 
     sender: int
     data: bytes
@@ -206,11 +206,11 @@
 
 @dataclass(slots=True)
 class Unfit:
-    """Somebody asks which engines are found broken just now; `tell` gets their ids."""
+    """A query for the engines that are unhealthy now; `tell` is called with their ids."""
 
     tell: Callable[[list[str]], None]
 
 
 @dataclass(slots=True)
 class Closing:
-    """The program is about to end: whatever is open gets its answer now."""
+    """The process is about to exit: every open request gets its answer now."""
--- a/aspenrill/core/enginelist.py
+++ b/aspenrill/core/enginelist.py
@@ -1,4 +1,4 @@
-"""What news of the list does to the owner's records of engines."""
+"""Applies updates of the engine list to the owner's records."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from .books import Peer
 
 
-def fitting(news: News, peers: dict[str, Peer], most: int, log: Callable[[str], None]) -> News:
-    """The news, or of a list longer than `most` only what it says of engines that are known."""
-    new = sum(member.engine not in peers for member in news.members)
-    count = len(news.members) if news.whole else len(peers) + new
-    if not new or count <= most:
-        return news
-    log(f"list of {count} engines refused: memory allows {most}; the last stays")
-    return News(news.number, False, tuple(member for member in news.members if member.engine in peers))
+def limit_list(update: News, peers: dict[str, Peer], limit: int, log: Callable[[str], None]) -> News:
+    """The update; or, where the list would exceed `limit` engines, only its entries on known engines."""
+    new = sum(member.engine not in peers for member in update.members)
+    count = len(update.members) if update.whole else len(peers) + new
+    if not new or count <= limit:
+        return update
+    log(f"list of {count} engines refused: memory allows {limit}; the previous list stays in use")
+    return News(update.number, False, tuple(member for member in update.members if member.engine in peers))
 
 
-def take_in(news: News, peers: dict[str, Peer]) -> list[Peer]:
-    """Bring the records up to date; those that take no more work, or were replaced by another process."""
+def update_peers(update: News, peers: dict[str, Peer]) -> list[Peer]:
+    """Update the records and return those that take no more work or were replaced by another process."""
     retired: list[Peer] = []
-    for member in news.members:
+    for member in update.members:
         known = peers.get(member.engine)
         if known is None or known.address != member.address or member.started > known.started:
             if known is not None:
@@ -33,8 +33,8 @@
         known.state = member.state
         if not known.takes_work:
             retired.append(known)
-    if news.whole:
-        named = {member.engine for member in news.members}
+    if update.whole:
+        named = {member.engine for member in update.members}
         for engine, peer in peers.items():
             if engine not in named:
                 peer.state = EngineState.GONE
--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -1,7 +1,7 @@
-"""The owner: the one task that holds the decision module, and carries out what it decides.
+"""The owner: the one task that runs the decision module and executes its actions.
 
-Everything reaches it through its queue. It never waits for a socket: attempts, probes and answers are handed
-to tasks that do.
+Every event reaches it through its queue. It never waits for a socket: other tasks perform attempts and probes
+and write answers.
 """
 
 from __future__ import annotations
@@ -17,16 +17,19 @@
 from ..net.hub import Hub, Queue
 from . import books
 from .books import Attempt, Call, Failed, Final, Peer, Refused, Served
-from .enginelist import fitting, take_in
+from .enginelist import limit_list, update_peers
 from .requestlog import RequestLog
 
-UNREACHED = 3  # connections in a row that did not come up, from which an engine counts as not there
-MOST_ENGINES = 100_000  # that are kept where nobody says how many memory allows
-OVERTIME = 0.03  # seconds past its deadline at which a request without an answer is failed here
+# Failed connects in a row after which an engine counts as unreachable.
+MAX_FAILED_CONNECTS = 3
+# Upper bound of the engines in the list where the memory sets none.
+MOST_ENGINES = 100_000
+# Seconds after its deadline at which a request without an answer fails here.
+DEADLINE_GRACE = 0.03
 
 
 class Engines(Protocol):
-    """What the owner asks of the side that speaks to engines."""
+    """What the owner needs from the code that connects to engines."""
 
     def start(self, attempt: Attempt) -> None: ...
     def cancel(self, attempt: Attempt) -> None: ...
@@ -36,129 +39,131 @@
 
 
 class Owner:
-    """Owns the module; `queue` is the only way in."""
+    """Runs the decision module. Every event goes through `queue`."""
 
     def __init__(self, hub: Hub, settings: api.Settings, seed: int, engines: Engines) -> None:
         self.hub, self.settings, self.engines = hub, settings, engines
         self.queue = Queue(hub)
         self.gateway = Gateway(settings, seed, time.monotonic())
-        self.log = RequestLog(hub.events, settings)
+        self.request_log = RequestLog(hub.events, settings)
         self.open: dict[str, Call] = {}
         self.peers: dict[str, Peer] = {}
         self.listed = False
         self.well = self.taking = True
-        self.closed = False  # about to end: nothing is open any more
+        self.closed = False  # the process exits: every request has its answer
         self.faults = 0
-        self.most_engines = MOST_ENGINES  # that a list may name: memory is bounded
-        self.tell: Callable[[bytes], None] = lambda data: None  # to all other front ends
-        self.kept: Any = None  # `fleet.kept.front.Kept`, where answers are kept or purged
-        self.fleet: Any = None  # `fleet.feed.Feed`, which counts what comes and ends
+        self.most_engines = MOST_ENGINES  # in the list: it bounds the memory
+        self.tell: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
+        self.kept: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
+        self.fleet: Any = None  # `fleet.feed.Feed`, which counts arrivals and ends
 
     def run(self) -> None:
-        """Take events for as long as the program runs."""
+        """Process events until the process exits."""
         while True:
             event = self.queue.get()
             try:
                 self.take(event)
             except Exception:
-                self._fault(f"owner, at {type(event).__name__}")
+                self._fault(f"owner, processing {type(event).__name__}")
                 attempt = getattr(event, "attempt", None)
-                call = getattr(event, "call", None) or getattr(attempt, "call", None)
-                if call is not None:
-                    self._give_up(call.id, call)
+                request = getattr(event, "call", None) or getattr(attempt, "call", None)
+                if request is not None:
+                    self._fail_request(request.id, request)
                 if isinstance(event, books.Ended):
-                    self._forget(call.id, attempt.peer.engine, api.Outcome.CANCELLED)
+                    self._end_attempt(request.id, attempt.peer.engine, api.Outcome.CANCELLED)
 
     def take(self, event: Any) -> None:
-        """One event, and all that the module makes of it."""
-        self._takers[type(event)](self, event)
+        """Process one event and execute the actions that follow from it."""
+        self._handlers[type(event)](self, event)
 
-    # ---- what comes in --------------------------------------------------------------------------------
+    # ---- events ---------------------------------------------------------------------------------------
 
     def _on_asked(self, asked: books.Asked) -> None:
-        call = asked.call
-        if not call.open:
+        request = asked.call
+        if not request.open:
             return
-        if call.gone:  # its `Left` is on the way
-            call.open = False
+        if request.gone:  # its `Left` event follows
+            request.open = False
             return
         if self.closed or not self.taking:
-            call.open = False
-            call.reply(call, Refused())
+            request.open = False
+            request.reply(request, Refused())
             return
-        if call.id in self.open:
-            call.open = False
-            call.reply(call, Failed("the id of a request that is open"))
+        if request.id in self.open:
+            request.open = False
+            request.reply(request, Failed("the id of a request that is open"))
             return
-        self.open[call.id] = call
-        call.overtime = self.hub.timers.at(call.deadline + OVERTIME, self._overtime, call)
-        if self.kept is None or not self._look_up(call):
-            self._request(call)
+        self.open[request.id] = request
+        request.deadline_timer = self.hub.timers.at(
+            request.deadline + DEADLINE_GRACE, self._past_deadline, request
+        )
+        if self.kept is None or not self._find_cached(request):
+            self._start_request(request)
 
-    def _look_up(self, call: Call) -> bool:
-        """Whether a kept answer was its final one, or it waits for another request's."""
+    def _find_cached(self, request: Call) -> bool:
+        """Whether a cached answer ended the request, or it waits for the answer of an equal one."""
         now = self.kept.clock()
-        found = self.kept.lookup(call, now)
+        found = self.kept.lookup(request, now)
         if found is None:
             return False
         if isinstance(found, books.Result):
-            self._final(call, Served(found))
+            self._final(request, Served(found))
         else:
-            self.hub.timers.after(found.until - now, self.queue.put, books.Tired(call))
+            self.hub.timers.after(found.until - now, self.queue.put, books.Tired(request))
         return True
 
     def _on_tired(self, tired: books.Tired) -> None:
         if self.kept.tired(tired.call) and tired.call.open:
-            self._request(tired.call)
+            self._start_request(tired.call)
 
-    def _request(self, call: Call) -> None:
+    def _start_request(self, request: Call) -> None:
         if self.closed:
-            return  # `_on_closing` answers it
+            return  # `_on_closing` has answered it
         if self.fleet is not None:
-            self.fleet.asked(call)
-        patience = call.deadline - time.monotonic()  # what waiting here has left of it
-        self._tell(
+            self.fleet.asked(request)
+        patience = request.deadline - time.monotonic()  # less what it waited here
+        self._decide(
             api.Request(
-                call.id,
-                call.cls,
+                request.id,
+                request.cls,
                 max(0.0, patience),
-                call.tenant,
-                data_set=call.data_set,
+                request.tenant,
+                data_set=request.data_set,
                 waited=self.hub.lag(),
             )
         )
 
-    def _overtime(self, call: Call) -> None:
-        self.queue.put(books.Expired(call))
+    def _past_deadline(self, request: Call) -> None:
+        self.queue.put(books.Expired(request))
 
     def _on_ended(self, end: books.Ended) -> None:
         attempt = end.attempt
-        call, outcome = attempt.call, end.outcome
-        if call.attempt is attempt:
-            call.attempt = None
-        self._reached(attempt.peer, outcome)
+        request, outcome = attempt.call, end.outcome
+        if request.attempt is attempt:
+            request.attempt = None
+        self._count_connect(attempt.peer, outcome)
         now = time.monotonic()
         if outcome is not api.Outcome.OK:
-            self.log.attempt_ended(attempt, outcome)
-        well = outcome is api.Outcome.OK
+            self.request_log.attempt_ended(attempt, outcome)
+        ok = outcome is api.Outcome.OK
         freed = None
         if self.kept is not None:
-            freed = self.kept.ended(call, end.result if well else None, self.kept.clock())
-        if well and self.fleet is not None:
+            freed = self.kept.ended(request, end.result if ok else None, self.kept.clock())
+        if ok and self.fleet is not None:
             self.fleet.ended(end)
-        if well and call.open:
-            if now <= call.deadline + OVERTIME:
-                self._final(call, Served(end.result))
+        if ok and request.open:
+            if now <= request.deadline + DEADLINE_GRACE:
+                self._final(request, Served(end.result))
             else:
                 outcome = api.Outcome.TIMEOUT
-        self._tell(
+        self._decide(
             api.AttemptEnded(
-                call.id,
+                request.id,
                 attempt.number,
                 attempt.peer.engine,
                 outcome,
                 now - attempt.began,
-                not call.open,
+                not request.open,
                 end.work,
                 end.memory_mb,
                 end.report,
@@ -168,33 +173,34 @@
             for other in freed.served:
                 self._final(other, Served(end.result))
             for other in freed.go_on:
-                self._request(other)
+                self._start_request(other)
 
     def _on_note(self, note: books.Noted) -> None:
         attempt = note.attempt
         if attempt.call.open:
-            self._tell(
+            self._decide(
                 api.AttemptNote(attempt.call.id, attempt.number, attempt.peer.engine, note.kind, note.amount)
             )
 
     def _on_left(self, left: books.Left) -> None:
         if left.call.open:
             self._close(left.call)
-            self._tell(api.ClientGone(left.call.id))
+            self._decide(api.ClientGone(left.call.id))
 
     def _on_expired(self, expired: books.Expired) -> None:
-        call = expired.call
-        if call.open:
-            self.log.expired(call)
-            self._final(call, Failed("out of time"))
-            self._tell(api.ClientGone(call.id))
+        request = expired.call
+        if request.open:
+            self.request_log.expired(request)
+            self._final(request, Failed("out of time"))
+            self._decide(api.ClientGone(request.id))
 
     @staticmethod
-    def _reached(peer: Peer, outcome: api.Outcome) -> None:
+    def _count_connect(peer: Peer, outcome: api.Outcome) -> None:
+        """Count the failed connects in a row."""
         if outcome is api.Outcome.CONNECT_FAILED:
-            peer.unreached += 1
+            peer.failed_connects += 1
         elif outcome is api.Outcome.OK:
-            peer.unreached = 0
+            peer.failed_connects = 0
 
     def _on_unfit(self, asked: books.Unfit) -> None:
         engines = self.gateway.fleet.engines
@@ -203,34 +209,38 @@
                 name
                 for name, peer in self.peers.items()
                 if peer.takes_work
-                and (peer.unreached >= UNREACHED or name in engines and not engines[name].healthy)
+                and (
+                    peer.failed_connects >= MAX_FAILED_CONNECTS
+                    or name in engines
+                    and not engines[name].healthy
+                )
             ]
         )
 
     def _on_probed(self, end: books.Probed) -> None:
-        self._reached(end.peer, end.outcome)
+        self._count_connect(end.peer, end.outcome)
         if end.peer.retired:
-            return  # it tells of the process before: the one that has its id now is another
+            return  # the probe went to the previous process with this id
         if self.fleet is not None:
             self.fleet.probed(end)
-        self._tell(api.ProbeEnded(end.peer.engine, end.outcome, end.latency, end.report))
+        self._decide(api.ProbeEnded(end.peer.engine, end.outcome, end.latency, end.report))
 
     def _on_heard(self, heard: books.Heard) -> None:
-        self._tell(api.PeerMessage(heard.sender, heard.data))
+        self._decide(api.PeerMessage(heard.sender, heard.data))
 
     def _on_due(self, due: books.Due) -> None:
-        self._tell(api.TimerDue(due.name))
+        self._decide(api.TimerDue(due.name))
 
     def _on_closing(self, _: books.Closing) -> None:
         self.closed = True
-        self._tell(api.Closing())
-        for call in list(self.open.values()):
-            self._final(call, Failed("ending"))
+        self._decide(api.Closing())
+        for request in list(self.open.values()):
+            self._final(request, Failed("ending"))
 
     def _on_news(self, news: News) -> None:
-        news = fitting(news, self.peers, self.most_engines, self.hub.log)
-        retired = take_in(news, self.peers)
-        for peer in retired:  # all are marked by now: an error here sends nothing to an engine that drains
+        news = limit_list(news, self.peers, self.most_engines, self.hub.log)
+        retired = update_peers(news, self.peers)
+        for peer in retired:  # all are marked: even after an error here none gets work
             try:
                 self.engines.retire(peer)
             except Exception:
@@ -239,7 +249,7 @@
         if news.whole:
             mode = api.ListMode.COMPLETE if self.listed else api.ListMode.REMEMBERED
         self.listed = True
-        self._tell(
+        self._decide(
             api.ListUpdate(
                 mode,
                 tuple(
@@ -254,77 +264,77 @@
             if peer.state is api.EngineState.GONE and engine not in self.gateway.fleet.engines:
                 del self.peers[engine]
 
-    # ---- what the module decides ----------------------------------------------------------------------
+    # ---- actions --------------------------------------------------------------------------------------
 
-    def _tell(self, event: api.Event) -> None:
-        """What the module makes of an event. An error there, or in an action, costs only the request that it
-        is about: all else that was decided is carried out."""
+    def _decide(self, event: api.Event) -> None:
+        """Pass an event to the decision module and execute its actions. An error there or in an action fails
+        only the request concerned: all other actions are executed."""
         now, broken = time.monotonic(), False
         try:
             actions = self.gateway.handle(now, event)
         except Exception:
-            self._fault(f"module, at {type(event).__name__}")
-            broken, actions = True, self.gateway.actions  # decided before the error
+            self._fault(f"decision module, processing {type(event).__name__}")
+            broken, actions = True, self.gateway.actions  # those decided before the error
         for action in actions:
             try:
                 self._act(action, now)
             except Exception:
-                self._fault(f"owner, at {type(action).__name__}")
-                request = getattr(action, "request", None)
-                self._give_up(request, self.open.get(request))
+                self._fault(f"owner, executing {type(action).__name__}")
+                request_id = getattr(action, "request", None)
+                self._fail_request(request_id, self.open.get(request_id))
                 if isinstance(action, api.Send):
-                    self._forget(request, action.engine, api.Outcome.MOOT)
+                    self._end_attempt(request_id, action.engine, api.Outcome.MOOT)
         if broken:
-            call = self.open.get(getattr(event, "request", None))
-            if call is not None and call.attempt is None:
-                self._give_up(call.id, call)
+            request = self.open.get(getattr(event, "request", None))
+            if request is not None and request.attempt is None:
+                self._fail_request(request.id, request)
 
     def _fault(self, what: str) -> None:
-        """An error that is being handled, for the people on call."""
+        """Report the error that is being handled to the operator."""
         self.faults += 1
         self.hub.report(what, traceback.format_exc())
 
-    def _give_up(self, request: str | None, call: Call | None) -> None:
-        """After an error in what was done for a request: its answer, and the module forgets it."""
-        if call is not None:
-            if call.attempt is not None and call.attempt.task is None:
-                call.attempt = None  # it did not begin
-            self._final(call, Failed("internal error"))
-        if request is not None and request not in self.open:
-            self.queue.put(api.ClientGone(request))
+    def _fail_request(self, request_id: str | None, request: Call | None) -> None:
+        """Fail a request after an internal error and end it in the decision module."""
+        if request is not None:
+            if request.attempt is not None and request.attempt.task is None:
+                request.attempt = None  # it was not started
+            self._final(request, Failed("internal error"))
+        if request_id is not None and request_id not in self.open:
+            self.queue.put(api.ClientGone(request_id))
 
-    def _forget(self, request: str, engine: str, outcome: api.Outcome) -> None:
-        """The end of an attempt that the module may still hold to be out, and of which nobody else tells."""
-        self.queue.put(api.AttemptEnded(request, 0, engine, outcome, 0.0, True))
+    def _end_attempt(self, request_id: str, engine: str, outcome: api.Outcome) -> None:
+        """End an attempt that the decision module may count as in flight and nothing else reports."""
+        self.queue.put(api.AttemptEnded(request_id, 0, engine, outcome, 0.0, True))
 
     def _act(self, action: api.Action, now: float) -> None:
-        """Carry out what was decided at `now`: spans that an action tells begin there."""
+        """Execute an action that was decided at `now`, from which its durations count."""
         match action:
-            case api.Send(request, engine, timeout, begin_within):
-                self._send(self.open[request], self.peers[engine], timeout, begin_within, now)
-            case api.SetTerms(request, _, priority):
-                call = self.open.get(request)
-                if call is not None:
-                    call.priority = priority
-                    if call.attempt is not None and call.attempt.priority != priority:
-                        call.attempt.priority = priority
-                        self.engines.rank(call.attempt, priority)
-            case api.Refuse(request, come_back, reason):
-                call = self.open.get(request)
-                if call is not None:
-                    self.log.refused(call, reason)
-                if self.fleet is not None and call is not None:
-                    self.fleet.refused(call)
-                self._final(call, Refused(come_back))
-            case api.Fail(request, reason):
-                call = self.open.get(request)
-                if call is not None:
-                    self.log.failed(call, reason)
-                self._final(call, Failed())
-            case api.Cancel(request, number):
-                call = self.open.get(request)
-                if call is not None and call.attempt is not None and call.attempt.number == number:
-                    self.engines.cancel(call.attempt)
+            case api.Send(request_id, engine, timeout, begin_within):
+                self._send(self.open[request_id], self.peers[engine], timeout, begin_within, now)
+            case api.SetTerms(request_id, _, priority):
+                request = self.open.get(request_id)
+                if request is not None:
+                    request.priority = priority
+                    if request.attempt is not None and request.attempt.priority != priority:
+                        request.attempt.priority = priority
+                        self.engines.rank(request.attempt, priority)
+            case api.Refuse(request_id, retry_after, reason):
+                request = self.open.get(request_id)
+                if request is not None:
+                    self.request_log.refused(request, reason)
+                if self.fleet is not None and request is not None:
+                    self.fleet.refused(request)
+                self._final(request, Refused(retry_after))
+            case api.Fail(request_id, reason):
+                request = self.open.get(request_id)
+                if request is not None:
+                    self.request_log.failed(request, reason)
+                self._final(request, Failed())
+            case api.Cancel(request_id, number):
+                request = self.open.get(request_id)
+                if request is not None and request.attempt is not None and request.attempt.number == number:
+                    self.engines.cancel(request.attempt)
             case api.SetTimer(delay, name):
                 self.hub.timers.after(delay, self.queue.put, books.Due(name))
             case api.Probe(engine):
@@ -334,51 +344,51 @@
             case api.Tell(data):
                 self.tell(data)
             case api.WatchList():
-                pass  # the list comes unasked
+                pass  # the list arrives without a subscription
 
-    def _send(self, call: Call, peer: Peer, timeout: float, begin_within: float, now: float) -> None:
-        until = min(call.deadline, now + timeout) if timeout > 0 else call.deadline
-        attempt = Attempt(call, peer, call.sends, until, call.priority)
+    def _send(self, request: Call, peer: Peer, timeout: float, begin_within: float, now: float) -> None:
+        until = min(request.deadline, now + timeout) if timeout > 0 else request.deadline
+        attempt = Attempt(request, peer, request.attempts_sent, until, request.priority)
         if begin_within > 0:
             attempt.begin_by = now + begin_within
-        if call.sends:
-            self.log.attempt_repeated(call, peer, begin_within)
+        if request.attempts_sent:
+            self.request_log.attempt_repeated(request, peer, begin_within)
         else:
-            call.first_sent_at = now
-        call.sends += 1
+            request.first_sent_at = now
+        request.attempts_sent += 1
         if self.kept is not None:
-            self.kept.sent(call, self.kept.clock())
-        if call.gone:  # nothing begins for it any more, not even a connection; its `Left` is on the way
+            self.kept.sent(request, self.kept.clock())
+        if request.gone:  # nothing is started for it any more, not even a connect; its `Left` event follows
             self.queue.put(books.Ended(attempt, api.Outcome.MOOT))
             return
-        call.attempt = attempt
+        request.attempt = attempt
         self.engines.start(attempt)
 
-    def _final(self, call: Call | None, final: Final) -> None:
-        """The one place that answers: once, and only what is open; also where an error comes in between."""
-        if call is not None and call.open:
+    def _final(self, request: Call | None, final: Final) -> None:
+        """Answer an open request, once, even after an error while closing it. Nothing else answers."""
+        if request is not None and request.open:
             try:
-                self._close(call)
+                self._close(request)
             except Exception:
                 self._fault("owner, closing a request")
             try:
-                call.reply(call, final)
+                request.reply(request, final)
             except Exception:
                 self._fault("owner, answering a request")
 
-    def _close(self, call: Call) -> None:
-        call.open = False
-        if self.open.get(call.id) is call:
-            del self.open[call.id]
-        if call.overtime is not None:
-            call.overtime.cancel()
-        if call.attempt is not None:
-            self.engines.cancel(call.attempt)
+    def _close(self, request: Call) -> None:
+        request.open = False
+        if self.open.get(request.id) is request:
+            del self.open[request.id]
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        if request.attempt is not None:
+            self.engines.cancel(request.attempt)
         if self.kept is not None:
-            for other in self.kept.closed(call, self.kept.clock()):
-                self._request(other)
+            for other in self.kept.closed(request, self.kept.clock()):
+                self._start_request(other)
 
-    _takers = {
+    _handlers = {
         books.Asked: _on_asked,
         books.Ended: _on_ended,
         books.Noted: _on_note,
@@ -391,6 +401,6 @@
         books.Heard: _on_heard,
         books.Tired: _on_tired,
         News: _on_news,
-        api.ClientGone: _tell,
-        api.AttemptEnded: _tell,
+        api.ClientGone: _decide,
+        api.AttemptEnded: _decide,
     }
--- a/aspenrill/core/requestlog.py
+++ b/aspenrill/core/requestlog.py
@@ -1,4 +1,4 @@
-"""What the log tells of requests: why each was refused, failed or repeated, and how attempts ended."""
+"""The events logged for requests: why each was refused, failed or repeated, and how attempts ended."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class RequestLog:
-    """Lines for the people on call, with the request's id. All ages are of the monotonic clock."""
+    """Writes the events, each with the request's id. Ages are of the monotonic clock."""
 
     def __init__(self, events: EventLog, settings: api.Settings) -> None:
         self._events, self._settings = events, settings
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """An attempt that brought no answer."""
+        """Log an attempt that ended without an answer."""
         self._events.event(
             "attempt_ended",
             id=attempt.call.id,
@@ -27,45 +27,45 @@
             client_gone=attempt.call.gone,
         )
 
-    def attempt_repeated(self, call: Call, peer: Peer, begin_within: float) -> None:
-        """One more attempt: how old the first one is, and the time that the module leaves for it."""
-        spec = self._settings.classes[call.cls]
+    def attempt_repeated(self, request: Call, peer: Peer, begin_within: float) -> None:
+        """Log a further attempt, with the age of the first one and the time in which it must begin."""
+        spec = self._settings.classes[request.cls]
         self._events.event(
             "attempt_repeated",
-            id=call.id,
-            cls=call.cls,
+            id=request.id,
+            cls=request.cls,
             effect=spec.effect.value,
-            attempt=call.sends,
+            attempt=request.attempts_sent,
             engine=peer.engine,
-            first_sent_ago=time.monotonic() - call.first_sent_at,
+            first_sent_ago=time.monotonic() - request.first_sent_at,
             dedup_window=spec.dedup_window,
             begin_within=begin_within,
         )
 
-    def refused(self, call: Call, reason: api.EndReason | None) -> None:
-        """A final answer that promises that trying again is harmless."""
-        self._answered("request_refused", call, reason)
+    def refused(self, request: Call, reason: api.EndReason | None) -> None:
+        """Log a refusal: a repeat does no harm."""
+        self._log_answer("request_refused", request, reason)
 
-    def expired(self, call: Call) -> None:
-        """No answer at its deadline: the program was stopped, or without a core."""
+    def expired(self, request: Call) -> None:
+        """Log a request without an answer at its deadline: the process was stopped or got no CPU time."""
         self._events.event(
             "request_expired",
-            id=call.id,
-            cls=call.cls,
-            age=time.monotonic() - call.arrived,
-            attempts=call.sends,
+            id=request.id,
+            cls=request.cls,
+            age=time.monotonic() - request.arrived_at,
+            attempts=request.attempts_sent,
         )
 
-    def failed(self, call: Call, reason: api.EndReason | None) -> None:
-        """A final answer that promises nothing."""
-        self._answered("request_failed", call, reason)
+    def failed(self, request: Call, reason: api.EndReason | None) -> None:
+        """Log a failure: the request may have had its effect."""
+        self._log_answer("request_failed", request, reason)
 
-    def _answered(self, name: str, call: Call, reason: api.EndReason | None) -> None:
+    def _log_answer(self, name: str, request: Call, reason: api.EndReason | None) -> None:
         self._events.event(
             name,
-            id=call.id,
-            cls=call.cls,
+            id=request.id,
+            cls=request.cls,
             reason=reason.value if reason else "",
-            age=time.monotonic() - call.arrived,
-            attempts=call.sends,
+            age=time.monotonic() - request.arrived_at,
+            attempts=request.attempts_sent,
         )
--- a/aspenrill/settings.py
+++ b/aspenrill/settings.py
@@ -1,4 +1,4 @@
-"""The settings object (simulator's first message, node's configuration) as api.Settings."""
+"""Translates the settings object (simulator's first message, configuration) to api.Settings."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def settings_from(info: dict[str, Any]) -> api.Settings:
-    """Translate the start message's object; keys not known here are ignored."""
+    """Translate the object of the start message. Unknown keys are ignored."""
 
-    def sec(owner: dict[str, Any], key: str, default: float = 0.0) -> float:
+    def seconds(owner: dict[str, Any], key: str, default: float = 0.0) -> float:
         return owner.get(key, default * NS) / NS
 
     family = info.get("family_info") or {}
@@ -22,36 +22,36 @@
     rules = info.get("guarantees") or {}
     stats = info.get("stats") or {}
     prices = info.get("prices") or {}
-    raw = info.get("classes") or []
+    class_objects = info.get("classes") or []
 
     def per_class(key: str, default: Any) -> list[Any]:
-        return list(family.get(key) or [default] * len(raw))
+        return list(family.get(key) or [default] * len(class_objects))
 
-    def bound(c: dict[str, Any], key: str) -> tuple[int, ...] | None:
+    def restriction(c: dict[str, Any], key: str) -> tuple[int, ...] | None:
         return tuple(c[key]) if c.get(key) is not None else None
 
-    threads, loads = per_class("dop", 1), per_class("is_load", False)
-    waits = per_class("waits_for_loads", False)
+    threads, is_load = per_class("dop", 1), per_class("is_load", False)
+    waits_for_loads = per_class("waits_for_loads", False)
     classes = tuple(
         api.QueryClass(
-            aim=sec(c, "on_time_ns"),
-            patience=sec(c, "give_up_ns"),
+            aim=seconds(c, "on_time_ns"),
+            patience=seconds(c, "give_up_ns"),
             effect=EFFECTS[c["effect"]],
             worth=c.get("value", 1.0),
             late_worth=c.get("late_share", 0.0),
             aim_stretch=c.get("aim_stretch", 0.0),
             dedup_scope=c.get("dedup_scope", "all"),
-            dedup_window=sec(c, "window_ns"),
+            dedup_window=seconds(c, "window_ns"),
             in_order=bool(c.get("in_order", False)),
-            only_kinds=bound(c, "served_on"),
-            only_zones=bound(c, "stays_in"),
+            only_kinds=restriction(c, "served_on"),
+            only_zones=restriction(c, "stays_in"),
             threads=threads[i],
-            is_load=loads[i],
-            waits_for_loads=waits[i],
+            is_load=is_load[i],
+            waits_for_loads=waits_for_loads[i],
         )
-        for i, c in enumerate(raw)
+        for i, c in enumerate(class_objects)
     )
-    budget = "repeat_ratio" in rules or "budget_free" in rules
+    has_retry_budget = "repeat_ratio" in rules or "budget_free" in rules
     return api.Settings(
         classes=classes,
         cores_by_kind=tuple(family.get("cores_by_kind") or [1] * len(info.get("kinds") or [1])),
@@ -65,7 +65,7 @@
         tell_price=prices.get("peer", 0.0),
         probe_price=prices.get("probe", 0.0),
         shortage_pages=family.get("on_shortage") == "page",
-        longest_come_back=sec(limits, "max_retry_after_ns"),
+        longest_come_back=seconds(limits, "max_retry_after_ns"),
         grants_heeded=bool(family.get("grants_count")),
         largest_grant=family.get("grant_cap", 1.0),
         priorities_heeded=bool(family.get("lanes_count")),
@@ -73,13 +73,13 @@
         ask_for_list=info.get("discovery") == "ask",
         report_fields=tuple(FIELDS.get(f, f) for f in stats.get("fields") or ()),
         start_capacity=rules.get("start_capacity", 1.0),
-        cold_for=sec(rules, "cold_ns"),
+        cold_for=seconds(rules, "cold_ns"),
         fall_multiple=rules.get("fall_multiple", 0.0),
-        fall_window=sec(rules, "fall_ns"),
-        key_rest=sec(rules, "turn_gap_ns") if "turn_gap_ns" in rules else None,
-        retry_free=rules.get("budget_free", 0) if budget else None,
-        retry_ratio=rules.get("repeat_ratio", 0.0) if budget else None,
-        retry_span=sec(rules, "ratio_span_ns"),
+        fall_window=seconds(rules, "fall_ns"),
+        key_rest=seconds(rules, "turn_gap_ns") if "turn_gap_ns" in rules else None,
+        retry_free=rules.get("budget_free", 0) if has_retry_budget else None,
+        retry_ratio=rules.get("repeat_ratio", 0.0) if has_retry_budget else None,
+        retry_span=seconds(rules, "ratio_span_ns"),
         over_share_worth=info.get("over_share_worth", 1.0),
         tenant_quotas=tuple(t.get("quota_per_s", 0.0) for t in info.get("tenants") or ()),
     )
--- a/tests/silentfront.py
+++ b/tests/silentfront.py
@@ -1,4 +1,4 @@
-"""An owner whose engines only note what is started, and what its clients were answered."""
+"""An owner with engines that record attempts and never answer, for tests without sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Engines:
-    """Notes what is started; nothing answers."""
+    """Records the attempts that are started; answers none."""
 
     def __init__(self) -> None:
         self.started: list = []
@@ -33,7 +33,7 @@
 
 
 class Front:
-    """An owner with two engines, and what its clients were answered."""
+    """An owner with two engines, and the final answers of its requests."""
 
     def __init__(self) -> None:
         self.hub, self.engines = Hub(print), Engines()
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that has gone, or has given a request up: nothing begins for it any more, wherever it stands."""
+"""A client that disconnected or cancelled a request: no attempt is started for it in any state."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from aspenrill.wire import thrift
 from standins.world import ROWS, SETTINGS, Act, World
 
-ROOMY = replace(SETTINGS, cores_by_kind=(64,))
+LARGE_ENGINES = replace(SETTINGS, cores_by_kind=(64,))
 PROTOCOLS = pytest.mark.parametrize("protocol", ["thrift", "tds"])
 
 
-def forget(number: int) -> bytes:
+def cancel_frame(number: int) -> bytes:
     return thrift.frame(thrift.ONEWAY, "forget", 0, thrift.field(thrift.I32, 1, struct.pack(">i", number)))
 
 
-def bytes_of(client, what) -> bytes:
-    """What the client would write."""
+def capture_writes(client, what) -> bytes:
+    """The bytes that the client writes during `what`, which are not sent."""
     parts, write = [], client.conn.write
     client.conn.write = lambda data, until: parts.append(data)
     what()
@@ -31,8 +31,8 @@
     return b"".join(parts)
 
 
-def hold(world: World, kind: type, until) -> None:
-    """The owner comes to events of this kind only once something is true: as where it is behind."""
+def delay_events(world: World, kind: type, until) -> None:
+    """Delay the owner's events of this kind until a condition holds, as if the owner were behind."""
     take = world.node.owner.take
 
     def late(event) -> None:
@@ -43,36 +43,36 @@
     world.node.owner.take = late
 
 
-def started(world: World) -> list:
-    """The attempts that the owner starts from now on."""
+def record_attempts(world: World) -> list:
+    """A list of the attempts that the owner starts from now on."""
     starts, start = [], world.node.owner.engines.start
     world.node.owner.engines.start = lambda attempt: (starts.append(attempt), start(attempt))
     return starts
 
 
-def resets(sock: socket.socket) -> None:
+def reset_connection(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 @pytest.mark.parametrize(
-    "goes",
-    [socket.socket.close, lambda s: s.shutdown(socket.SHUT_WR), resets],
+    "leave",
+    [socket.socket.close, lambda s: s.shutdown(socket.SHUT_WR), reset_connection],
     ids=["closes", "half-closes", "resets"],
 )
 @pytest.mark.parametrize("size, lag", [(600, 0.0), (1, 0.05)], ids=["flood", "behind"])
-def test_an_end_behind_requests_that_lie_there_is_seen_before_they_are_sent_on(goes, size, lag):
-    world = World("thrift", 1, ROOMY)
+def test_disconnect_after_unread_requests_is_seen_before_they_are_sent(leave, size, lag):
+    world = World("thrift", 1, LARGE_ENGINES)
 
     def play():
         client, listener = world.client(), world.node.fronts[0][1]
         assert client.ask("select 0").rows == ROWS
-        count = 60 if size > 1 else 5  # 5 short ones are read at once, with nothing unread behind them
-        data = bytes_of(client, lambda: [client.send("select 1" + " " * size) for _ in range(count)])
+        count = 60 if size > 1 else 5  # 5 short ones are read at once, and nothing unread remains
+        data = capture_writes(client, lambda: [client.send("select 1" + " " * size) for _ in range(count)])
         world.hub.lag = lambda: lag
         client.conn.sock.setblocking(True)
         client.conn.sock.sendall(data)
-        goes(client.conn.sock)  # both before the front end reads
+        leave(client.conn.sock)  # before the front end reads any of it
         world.until(lambda: not listener.connections)
         world.until(lambda: not world.node.owner.open)
         assert world.engines[0].statements == ["select 0"]
@@ -80,13 +80,13 @@
     world.run(play)
 
 
-def test_calls_given_up_behind_many_others_that_lie_there_are_not_sent_on():
-    world = World("thrift", 1, ROOMY)
+def test_requests_cancelled_behind_unread_ones_are_not_sent():
+    world = World("thrift", 1, LARGE_ENGINES)
 
     def play():
         client = world.client()
-        data = bytes_of(client, lambda: [client.send(f"select {at}") for at in range(1, 32)])
-        client.conn.write(data + b"".join(map(forget, range(17, 32))), time.monotonic() + 5)
+        data = capture_writes(client, lambda: [client.send(f"select {at}") for at in range(1, 32)])
+        client.conn.write(data + b"".join(map(cancel_frame, range(17, 32))), time.monotonic() + 5)
         assert [client.read(10).kind for _ in range(16)] == ["served"] * 16
         client.send("select 32")
         assert client.read(10).kind == "served"
@@ -100,7 +100,7 @@
     [b"\0\0\0\4GET ", b"".join(thrift.frame(thrift.CALL, "nobody", at, b"") for at in range(2, 18))],
     ids=["malformed", "unusable"],
 )
-def test_a_client_whose_requests_are_taken_no_more_can_give_up_what_is_open(bad):
+def test_client_on_a_draining_connection_can_cancel_its_open_request(bad):
     world = World("thrift", 1)
 
     def play():
@@ -108,11 +108,11 @@
         client = world.client()
         client.send("select 1")
         world.until(lambda: world.engines[0].began)
-        again = bytes_of(client, lambda: client.send("select 2"))
+        again = capture_writes(client, lambda: client.send("select 2"))
         [conn], [call] = world.node.fronts[0][1].connections, world.node.owner.open.values()
         client.conn.write(bad, time.monotonic() + 5)
         world.until(lambda: conn.draining)
-        client.conn.write(again + forget(1), time.monotonic() + 5)
+        client.conn.write(again + cancel_frame(1), time.monotonic() + 5)
         world.until(lambda: not call.open)
         assert call.gone and world.engines[0].statements == ["select 1"]
 
@@ -121,16 +121,16 @@
 
 @PROTOCOLS
 @pytest.mark.parametrize("how", ["closes", "gives up"])
-def test_a_request_that_its_client_left_in_the_queue_does_not_reach_the_module(protocol, how):
+def test_request_cancelled_in_the_owners_queue_does_not_reach_the_decision_module(protocol, how):
     world = World(protocol, 1)
 
     def play():
         client, seen, calls, handle = world.client(), [], [], world.node.owner.gateway.handle
         world.node.owner.gateway.handle = lambda now, event: (seen.append(event), handle(now, event))[1]
-        hold(world, books.Asked, lambda asked: calls.append(asked.call) or asked.call.gone)
+        delay_events(world, books.Asked, lambda asked: calls.append(asked.call) or asked.call.gone)
         client.send("select 1")
         client.close() if how == "closes" else (
-            client.cancel() if protocol == "tds" else client.conn.write(forget(1), time.monotonic() + 5)
+            client.cancel() if protocol == "tds" else client.conn.write(cancel_frame(1), time.monotonic() + 5)
         )
         queue = world.node.owner.queue.items
         world.until(lambda: calls and calls[0].gone and not queue)
@@ -141,8 +141,8 @@
 
 
 @PROTOCOLS
-def test_a_client_that_goes_while_a_connection_is_found_is_seen_at_the_last_look(protocol):
-    # the owner has not come to its `Left` yet
+def test_disconnect_while_a_connection_is_taken_is_seen_at_the_last_check(protocol):
+    # The owner has not processed the `Left` event yet.
     world = World(protocol, 1)
 
     def play():
@@ -157,7 +157,7 @@
             return found
 
         world.node.pools.take = slow
-        hold(world, books.Left, lambda left: begun)
+        delay_events(world, books.Left, lambda left: begun)
         client.send("select 1")
         world.until(lambda: begun and not world.node.owner.open)
         assert not world.engines[0].began
@@ -166,11 +166,11 @@
 
 
 @PROTOCOLS
-def test_a_client_that_goes_between_two_tries_gets_no_second(protocol):
+def test_no_second_attempt_after_a_disconnect_between_attempts(protocol):
     world = World(protocol, 2)
 
     def play():
-        client, starts = world.client(), started(world)
+        client, starts = world.client(), record_attempts(world)
         for engine in world.engines:
             engine.act = lambda statement: Act(end="full")
 
@@ -178,7 +178,7 @@
             client.close()
             return end.attempt.call.gone
 
-        hold(world, books.Ended, gone)
+        delay_events(world, books.Ended, gone)
         client.send("select 1")
         world.until(lambda: starts and not world.node.owner.open)
         assert len(starts) == 1 and sum(len(engine.began) for engine in world.engines) == 1
@@ -187,11 +187,11 @@
 
 
 @PROTOCOLS
-def test_a_client_that_goes_while_a_connection_comes_up_ends_that(protocol):
+def test_disconnect_ends_a_connect_in_progress(protocol):
     world = World(protocol, 1)
 
     def play():
-        with socket.socket() as full:  # its backlog is full: whoever calls waits
+        with socket.socket() as full:  # with a full backlog, so that connects wait
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             callers = [socket.socket() for _ in range(4)]
@@ -214,21 +214,23 @@
 
 
 @PROTOCOLS
-def test_a_held_request_whose_client_goes_is_never_sent_on(protocol):
-    # the owner comes to the end that makes room for it before it comes to its `Left`
+def test_queued_request_is_not_sent_after_a_disconnect(protocol):
+    # The owner processes the end that frees a slot for the request before its `Left` event.
     world = World(protocol, 1, replace(SETTINGS, cores_by_kind=(1,)))
 
     def play():
         owner, held, clients = world.node.owner, world.node.owner.gateway.held, []
         for _ in range(4):
-            assert world.client().ask("select 1").rows == ROWS  # a class known as quick may wait for room
+            assert (
+                world.client().ask("select 1").rows == ROWS
+            )  # requests of a class with a known short latency are queued
         world.engines[0].act = lambda statement: Act(after=0.3)
         while not held and len(clients) < 40:
             clients.append(world.client())
             clients[-1].send(f"select {len(clients)}")
             world.until(lambda: len(owner.open) == len(clients))
-        [call], starts = [owner.open[ident] for ident in held], started(world)
-        hold(world, books.Ended, lambda end: clients[-1].close() or call.gone or not call.open)
+        [call], starts = [owner.open[ident] for ident in held], record_attempts(world)
+        delay_events(world, books.Ended, lambda end: clients[-1].close() or call.gone or not call.open)
         for client in clients[:-1]:
             assert client.read(20).rows == ROWS
         world.until(lambda: not owner.open)
@@ -237,12 +239,12 @@
     world.run(play)
 
 
-def test_an_answer_that_is_ready_as_its_client_goes_leaves_nothing():
+def test_answer_that_is_ready_at_a_disconnect_leaves_no_state():
     world = World("thrift", 1)
 
     def play():
         client, listener = world.client(), world.node.fronts[0][1]
-        hold(
+        delay_events(
             world,
             books.Ended,
             lambda end: client.close() or end.attempt.call.gone or end.attempt.call.statement != b"select 1",
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner where something in it breaks: whose request that costs, and what is carried out all the same."""
+"""Internal errors in the owner: which request fails, and what is executed nevertheless."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 BAD, FINE = "bad", "fine"
 
 
-class Scene:
-    """An owner with two open requests, whose engines break where the test says so."""
+class OwnerFixture:
+    """An owner with two open requests, whose engines raise an error where the test says so."""
 
     def __init__(self) -> None:
         self.lines, self.answers, self.started, self.retired = [], [], [], []
-        self.breaks = ""  # the method of the engines that raises for whatever is BAD
+        self.breaks = ""  # the method of the engines that raises for BAD
         self.hub = Hub(self.lines.append)
         self.owner = Owner(
             self.hub,
@@ -61,16 +61,16 @@
         self.answers.append((call.id, type(final)))
 
     def play(self, *events) -> None:
-        """The owner takes them, and what follows of them; each fault was reported."""
+        """Let the owner process the events and those that follow. Each error must be logged."""
 
-        def scene() -> None:
+        def deliver() -> None:
             for event in events:
                 self.owner.queue.put(event)
             self.hub.sleep(0)
             while self.owner.queue.items:
                 self.hub.sleep(0)
 
-        play(self.hub, scene)
+        play(self.hub, deliver)
         assert self.owner.faults == sum(line.startswith("error: ") for line in self.lines)
 
 
@@ -83,21 +83,21 @@
         (api.Fail(BAD), "reply", api.Refuse(FINE)),
     ],
 )
-def test_an_action_that_breaks_costs_its_own_request_and_the_others_are_carried_out(first, breaks, fine):
-    made, told = Scene(), []
-    made.breaks = breaks
+def test_failing_action_fails_its_own_request_and_the_others_are_executed(first, breaks, fine):
+    fixture, events = OwnerFixture(), []
+    fixture.breaks = breaks
 
     def handle(now: float, event: api.Event) -> list[api.Action]:
-        told.append(event)
+        events.append(event)
         return [first, fine] if isinstance(event, api.TimerDue) else []
 
-    made.owner.gateway.handle = handle
-    made.play(books.Due("look"))
+    fixture.owner.gateway.handle = handle
+    fixture.play(books.Due("look"))
     sent, own = isinstance(fine, api.Send), isinstance(first, api.Send)
-    assert made.started == [FINE] * sent and made.owner.faults == 1
-    assert made.answers == [(BAD, books.Failed)] * own + [(FINE, books.Refused)] * (not sent)
-    if own:  # the module holds neither the request nor its attempt any more
-        assert told[1:] == [
+    assert fixture.started == [FINE] * sent and fixture.owner.faults == 1
+    assert fixture.answers == [(BAD, books.Failed)] * own + [(FINE, books.Refused)] * (not sent)
+    if own:  # the decision module keeps neither the request nor its attempt
+        assert events[1:] == [
             api.ClientGone(BAD),
             api.AttemptEnded(BAD, 0, first.engine, api.Outcome.MOOT, 0.0, True),
         ]
@@ -110,9 +110,9 @@
         ([api.Send(BAD, FINE, 1.0)], [BAD], []),
     ],
 )
-def test_what_the_module_had_decided_before_it_broke_is_carried_out(decided, started, answers):
-    made = Scene()
-    gateway = made.owner.gateway
+def test_actions_decided_before_an_error_in_the_module_are_executed(decided, started, answers):
+    fixture = OwnerFixture()
+    gateway = fixture.owner.gateway
 
     def handle(now: float, event: api.Event) -> list[api.Action]:
         gateway.actions = []
@@ -122,44 +122,44 @@
         return gateway.actions
 
     gateway.handle = handle
-    made.owner.open.pop(BAD)
-    made.play(books.Asked(made.calls[BAD]))
-    assert made.started == started and made.answers == answers and made.owner.faults == 1
-    for call in made.calls.values():
-        if call.overtime is not None:
-            call.overtime.cancel()
+    fixture.owner.open.pop(BAD)
+    fixture.play(books.Asked(fixture.calls[BAD]))
+    assert fixture.started == started and fixture.answers == answers and fixture.owner.faults == 1
+    for call in fixture.calls.values():
+        if call.deadline_timer is not None:
+            call.deadline_timer.cancel()
 
 
 @pytest.mark.parametrize("breaks", ["cancel", "reply"])
-def test_all_that_is_open_is_answered_at_the_end_though_one_breaks(breaks):
-    made = Scene()
-    made.breaks = breaks
-    call = made.calls[BAD]
-    call.attempt = books.Attempt(call, made.owner.peers[FINE], 0, call.deadline, 1, task=object())
-    made.play(books.Closing())
-    assert made.answers == [(BAD, books.Failed)] * (breaks == "cancel") + [(FINE, books.Failed)]
-    assert not made.owner.open
-
-
-def test_news_are_whole_though_one_engine_cannot_be_retired():
-    made = Scene()
-    made.breaks = "retire"
-    made.play(
+def test_all_open_requests_are_answered_on_shutdown_despite_an_error(breaks):
+    fixture = OwnerFixture()
+    fixture.breaks = breaks
+    call = fixture.calls[BAD]
+    call.attempt = books.Attempt(call, fixture.owner.peers[FINE], 0, call.deadline, 1, task=object())
+    fixture.play(books.Closing())
+    assert fixture.answers == [(BAD, books.Failed)] * (breaks == "cancel") + [(FINE, books.Failed)]
+    assert not fixture.owner.open
+
+
+def test_list_update_is_complete_despite_an_error_while_retiring_an_engine():
+    fixture = OwnerFixture()
+    fixture.breaks = "retire"
+    fixture.play(
         News(
             2, False, tuple(Member(name, ("127.0.0.1", 80), api.EngineState.DRAINING) for name in (BAD, FINE))
         )
     )
-    assert made.retired == [FINE] and not any(peer.takes_work for peer in made.owner.peers.values())
-    assert not made.owner.gateway.live and made.owner.faults == 1
+    assert fixture.retired == [FINE] and not any(peer.takes_work for peer in fixture.owner.peers.values())
+    assert not fixture.owner.gateway.live and fixture.owner.faults == 1
 
 
-def test_a_probe_of_the_process_before_tells_nothing_of_the_one_that_has_its_id_now():
-    made, told = Scene(), []
-    before = made.owner.peers[BAD]
-    made.owner.gateway.handle = lambda now, event: told.append(event) or []
-    made.play(
+def test_probe_of_the_previous_process_says_nothing_of_the_current_one():
+    fixture, events = OwnerFixture(), []
+    before = fixture.owner.peers[BAD]
+    fixture.owner.gateway.handle = lambda now, event: events.append(event) or []
+    fixture.play(
         News(2, False, (Member(BAD, ("127.0.0.1", 80), api.EngineState.LIVE, started=9.0),)),
         books.Probed(before, api.Outcome.CONNECT_FAILED, 0.1, None),
-        books.Probed(made.owner.peers[FINE], api.Outcome.OK, 0.1, None),
+        books.Probed(fixture.owner.peers[FINE], api.Outcome.OK, 0.1, None),
     )
-    assert [event.engine for event in told if isinstance(event, api.ProbeEnded)] == [FINE]
+    assert [event.engine for event in events if isinstance(event, api.ProbeEnded)] == [FINE]
