--- a/aspenrill/adapter.py
+++ b/aspenrill/adapter.py
@@ -1,4 +1,4 @@
-"""The bench's wire only: parse, translate to the interface's words, encode, loop."""
+"""Adapter for the simulator: reads its line protocol, translates to aspenrill/api.py, writes the replies."""
 
 from __future__ import annotations
 
@@ -30,10 +30,11 @@
     "remembered": api.ListMode.REMEMBERED,
     "refused": api.ListMode.REFUSED,
 }
+# Flags of WORK_ITEM: the client repeats a request; the expected work is known.
 RETRY_BIT = 2
 COST_BIT = 1
-# messages with the number of their values; the last one of BORN is text to the line's end
-WIDTHS = {
+# Number of values of each message. The last value of BORN and DEADLINE_HIT may contain tabs.
+VALUE_COUNTS = {
     "MARK": 2,
     "OVER_TO_YOU": 0,
     "ABOUT": 1,
@@ -54,7 +55,7 @@
 
 
 class WireError(Exception):
-    """A line that cannot be read; the text says which and what was expected."""
+    """A malformed line. The text names the line and what was expected."""
 
 
 def _number(text: str, what: str) -> float:
@@ -74,8 +75,8 @@
         raise WireError(f"{what}: expected a whole number, got {text!r}") from None
 
 
-def _either(text: str, what: str, read: Callable[[str, str], Any], absent: Any) -> Any:
-    return absent if text == "-" else read(text, what)
+def _optional(text: str, what: str, read: Callable[[str, str], Any], default: Any) -> Any:
+    return default if text == "-" else read(text, what)
 
 
 def _seconds(text: str, what: str) -> float:
@@ -88,7 +89,7 @@
     return text == "1"
 
 
-def _word(text: str, what: str, table: dict[str, Any]) -> Any:
+def _choice(text: str, what: str, table: dict[str, Any]) -> Any:
     if text not in table:
         raise WireError(f"{what}: expected one of {', '.join(table)}, got {text!r}")
     return table[text]
@@ -97,18 +98,18 @@
 def _report(text: str, what: str) -> tuple[float, ...] | None:
     if text in ("-", ""):
         return None
-    return tuple(_number(part, what) for part in text.split(","))
+    return tuple(_number(value, what) for value in text.split(","))
 
 
 def encode(action: api.Action) -> str:
-    """One action as a line of the wire."""
+    """Encode one action as a line."""
     match action:
         case api.Send(request, engine, timeout, _):
             return f"TRANSMIT\t{request}\t{round(timeout * NS)}\t{engine}"
         case api.SetTerms(request, memory, priority):
             return f"EQUIP\t{request}\t{memory:.6g}\t{priority}"
-        case api.Refuse(request, come_back):
-            return f"REJECT\t{request}\t{round(come_back * NS)}"
+        case api.Refuse(request, retry_after):
+            return f"REJECT\t{request}\t{round(retry_after * NS)}"
         case api.Fail(request):
             return f"GIVE_UP\t{request}"
         case api.Cancel(request, attempt):
@@ -126,160 +127,160 @@
     raise TypeError(f"no such action: {action!r}")
 
 
-class Link:
-    """Reads batches, keeps one Gateway an instance and a numbered list for each census."""
+class BatchProcessor:
+    """Processes batches. Keeps a Gateway for each instance and the engine list of each CENSUS by number."""
 
     def __init__(self) -> None:
         self.gateways: dict[str, Gateway] = {}
         self.lists: dict[int, tuple[api.EngineEntry, ...]] = {}
 
     def split(self, line: str) -> tuple[str, list[str]]:
-        """Name and values of a line, their number checked."""
+        """Split a line into its name and values and check the number of values."""
         name, *values = line.rstrip("\n").split("\t")
-        if name not in WIDTHS:
+        if name not in VALUE_COUNTS:
             raise WireError(f"expected a message of the wire, got {name!r}")
-        if name in ("BORN", "DEADLINE_HIT") and len(values) > WIDTHS[name]:
-            keep = WIDTHS[name] - 1
-            values = values[:keep] + ["\t".join(values[keep:])]
-        if len(values) != WIDTHS[name]:
-            raise WireError(f"{name}: expected {WIDTHS[name]} values, got {len(values)}")
+        if name in ("BORN", "DEADLINE_HIT") and len(values) > VALUE_COUNTS[name]:
+            kept = VALUE_COUNTS[name] - 1
+            values = values[:kept] + ["\t".join(values[kept:])]
+        if len(values) != VALUE_COUNTS[name]:
+            raise WireError(f"{name}: expected {VALUE_COUNTS[name]} values, got {len(values)}")
         return name, values
 
-    def event(self, name: str, v: list[str]) -> api.Event:
-        """One indication in the interface's words."""
+    def event(self, name: str, values: list[str]) -> api.Event:
+        """Translate one message to an event."""
         if name == "HEARD":
             try:
-                data = bytes.fromhex("" if v[1] == "-" else v[1])
+                data = bytes.fromhex("" if values[1] == "-" else values[1])
             except ValueError:
-                raise WireError(f"HEARD data: expected hex digits, got {v[1]!r}") from None
-            return api.PeerMessage(_integer(v[0], "HEARD neighbour"), data)
+                raise WireError(f"HEARD data: expected hex digits, got {values[1]!r}") from None
+            return api.PeerMessage(_integer(values[0], "HEARD neighbour"), data)
         if name == "UPDATE":
-            mode = _word(v[2], "UPDATE mode", MODES)
+            mode = _choice(values[2], "UPDATE mode", MODES)
             if mode is api.ListMode.REFUSED:
                 return api.ListUpdate(mode)
-            ref = _integer(v[0], "UPDATE ref")
+            ref = _integer(values[0], "UPDATE ref")
             if ref not in self.lists:
                 raise WireError(f"UPDATE ref: expected the number of a CENSUS, got {ref}")
             return api.ListUpdate(mode, self.lists[ref])
         if name == "WORK_ITEM":
-            flags = _either(v[5], "WORK_ITEM bitmap", _integer, 0)
-            work = _either(v[7], "WORK_ITEM expected_ns", _seconds, None)
+            flags = _optional(values[5], "WORK_ITEM bitmap", _integer, 0)
+            work = _optional(values[7], "WORK_ITEM expected_ns", _seconds, None)
             return api.Request(
-                request=v[0],
-                tenant=_either(v[1], "WORK_ITEM project", _integer, 0),
-                key=None if v[2] == "-" else v[2],
-                patience=_seconds(v[3], "WORK_ITEM patience_left_ns"),
-                memory_mb=_either(v[4], "WORK_ITEM ram_mb", _number, 0.0),
-                cls=_integer(v[6], "WORK_ITEM kind"),
+                request=values[0],
+                tenant=_optional(values[1], "WORK_ITEM project", _integer, 0),
+                key=None if values[2] == "-" else values[2],
+                patience=_seconds(values[3], "WORK_ITEM patience_left_ns"),
+                memory_mb=_optional(values[4], "WORK_ITEM ram_mb", _number, 0.0),
+                cls=_integer(values[6], "WORK_ITEM kind"),
                 work=work if flags & COST_BIT and work else None,
-                data_set=_either(v[8], "WORK_ITEM tables", lambda t, w: int(_number(t, w)), None),
+                data_set=_optional(values[8], "WORK_ITEM tables", lambda t, w: int(_number(t, w)), None),
                 client_retry=bool(flags & RETRY_BIT),
             )
         if name == "VERDICT":
-            note = _either(v[6], "VERDICT stats", _integer, 0)
+            note = _optional(values[6], "VERDICT stats", _integer, 0)
             return api.AttemptEnded(
-                request=v[0],
-                attempt=_integer(v[1], "VERDICT n"),
-                engine=v[2],
-                outcome=_word(v[3], "VERDICT status", OUTCOMES),
-                latency=_seconds(v[4], "VERDICT lag_ns"),
-                closed=_bool(v[5], "VERDICT closed"),
+                request=values[0],
+                attempt=_integer(values[1], "VERDICT n"),
+                engine=values[2],
+                outcome=_choice(values[3], "VERDICT status", OUTCOMES),
+                latency=_seconds(values[4], "VERDICT lag_ns"),
+                closed=_bool(values[5], "VERDICT closed"),
                 work=(note >> 12) / 1000 if note else None,
                 memory_mb=(note & 4095) * 4.0 if note else None,
-                report=_report(v[7], "VERDICT pressure"),
+                report=_report(values[7], "VERDICT pressure"),
             )
         if name == "NOTE":
             kinds = {str(k.value): k for k in api.NoteKind}
             return api.AttemptNote(
-                v[0],
-                _integer(v[1], "NOTE n"),
-                v[2],
-                _word(v[3], "NOTE kind", kinds),
-                _number(v[4], "NOTE amount"),
+                values[0],
+                _integer(values[1], "NOTE n"),
+                values[2],
+                _choice(values[3], "NOTE kind", kinds),
+                _number(values[4], "NOTE amount"),
             )
         if name == "GONE":
-            return api.ClientGone(v[0])
+            return api.ClientGone(values[0])
         if name == "STARTED":
-            _integer(v[1], "STARTED lag_ns")
-            return api.StreamStarted(v[0], _integer(v[3], "STARTED n"), v[2])
+            _integer(values[1], "STARTED lag_ns")
+            return api.StreamStarted(values[0], _integer(values[3], "STARTED n"), values[2])
         if name == "STATUS_BACK":
             return api.ProbeEnded(
-                v[0],
-                _word(v[1], "STATUS_BACK status", OUTCOMES),
-                _seconds(v[2], "STATUS_BACK lag_ns"),
-                _report(v[3], "STATUS_BACK pressure"),
+                values[0],
+                _choice(values[1], "STATUS_BACK status", OUTCOMES),
+                _seconds(values[2], "STATUS_BACK lag_ns"),
+                _report(values[3], "STATUS_BACK pressure"),
             )
         if name == "DEADLINE_HIT":
-            return api.TimerDue(v[0])
+            return api.TimerDue(values[0])
         raise WireError(f"{name}: not expected here")
 
-    def batch(self, lines: list[str]) -> list[str]:
-        """The reply to one batch (MARK first, without OVER_TO_YOU)."""
-        name, v = self.split(lines[0])
+    def process(self, lines: list[str]) -> list[str]:
+        """Process one batch, from its MARK up to OVER_TO_YOU, and return the lines of the reply."""
+        name, values = self.split(lines[0])
         if name != "MARK":
             raise WireError(f"expected MARK at the head of a batch, got {name!r}")
-        now, number = _seconds(v[0], "MARK clock"), _integer(v[1], "MARK batch number")
+        now, number = _seconds(values[0], "MARK clock"), _integer(values[1], "MARK batch number")
         reply: list[str] = []
-        here, spoken, at = "", None, 1
-        while at < len(lines):
+        instance, last_instance, position = "", None, 1
+        while position < len(lines):
             try:
-                name, v = self.split(lines[at])
-                at += 1
+                name, values = self.split(lines[position])
+                position += 1
                 if name == "CENSUS":
-                    ref, count = _integer(v[0], "CENSUS ref"), _integer(v[1], "CENSUS items")
-                    rows = [self.split(row) for row in lines[at : at + count]]
+                    ref, count = _integer(values[0], "CENSUS ref"), _integer(values[1], "CENSUS items")
+                    rows = [self.split(row) for row in lines[position : position + count]]
                     if len(rows) != count or any(row[0] != "M" for row in rows):
                         raise WireError(f"CENSUS: expected {count} M lines after it")
                     self.lists[ref] = tuple(self._entry(row[1]) for row in rows)
-                    at += count
+                    position += count
                     continue
                 if name == "ABOUT":
-                    here = v[0]
+                    instance = values[0]
                     continue
-                if not here:
+                if not instance:
                     raise WireError(f"{name}: expected an ABOUT line before it")
                 if name == "BORN":
                     try:
-                        settings = settings_from(json.loads(v[1]))
-                    except (ValueError, KeyError, TypeError, AttributeError) as why:
-                        raise WireError(f"BORN info: expected a usable settings object: {why!r}") from None
-                    self.gateways[here] = Gateway(settings, _integer(v[0], "BORN rng_seed"), now)
+                        settings = settings_from(json.loads(values[1]))
+                    except (ValueError, KeyError, TypeError, AttributeError) as error:
+                        raise WireError(f"BORN info: expected a usable settings object: {error!r}") from None
+                    self.gateways[instance] = Gateway(settings, _integer(values[0], "BORN rng_seed"), now)
                     continue
                 if name == "HALT":
-                    self.gateways.pop(here, None)
+                    self.gateways.pop(instance, None)
                     continue
-                gateway = self.gateways.get(here)
+                gateway = self.gateways.get(instance)
                 if gateway is None:
-                    raise WireError(f"{name}: expected BORN for {here} first")
-                event = self.event(name, v)
-            except WireError as why:
-                raise WireError(f"{why} (line {lines[min(at, len(lines)) - 1].rstrip()!r})") from None
+                    raise WireError(f"{name}: expected BORN for {instance} first")
+                event = self.event(name, values)
+            except WireError as error:
+                raise WireError(f"{error} (line {lines[min(position, len(lines)) - 1].rstrip()!r})") from None
             try:
                 actions = gateway.handle(now, event)
-            except Exception as why:  # the wire has a message for a broken module
+            except Exception as error:  # the protocol reports an error of the module as DIE
                 traceback.print_exc(file=sys.stderr)
-                reply += [f"BY\t{here}", f"DIE\t{type(why).__name__}: {why}".replace("\n", " ")]
+                reply += [f"BY\t{instance}", f"DIE\t{type(error).__name__}: {error}".replace("\n", " ")]
                 break
-            if actions and spoken != here:
-                reply.append(f"BY\t{here}")
-                spoken = here
+            if actions and last_instance != instance:
+                reply.append(f"BY\t{instance}")
+                last_instance = instance
             reply += [encode(a) for a in actions]
         return reply + [f"ACK\t{number}"]
 
-    def _entry(self, v: list[str]) -> api.EngineEntry:
+    def _entry(self, values: list[str]) -> api.EngineEntry:
         return api.EngineEntry(
-            engine=v[6],
-            state=_word(v[0], "M readiness", STATES),
-            zone=_either(v[1], "M zone", _integer, 0),
-            started=_either(v[2], "M ready_at_ns", _seconds, 0.0),
-            kind=_either(v[4], "M kind", _integer, 0),
-            cell=_either(v[5], "M pack", _integer, 0),
+            engine=values[6],
+            state=_choice(values[0], "M readiness", STATES),
+            zone=_optional(values[1], "M zone", _integer, 0),
+            started=_optional(values[2], "M ready_at_ns", _seconds, 0.0),
+            kind=_optional(values[4], "M kind", _integer, 0),
+            cell=_optional(values[5], "M pack", _integer, 0),
         )
 
 
 def serve(stdin: TextIO, stdout: TextIO, stderr: TextIO) -> int:
-    """Answer batches until end of input; 0 on a clean end, 2 on a line that cannot be read."""
-    link, lines = Link(), []
+    """Process batches until the end of input. Returns 0 at a clean end, 2 after a malformed line."""
+    processor, lines = BatchProcessor(), []
     for line in stdin:
         if line.rstrip("\n") != "OVER_TO_YOU":
             lines.append(line)
@@ -287,9 +288,9 @@
         try:
             if not lines:
                 raise WireError("expected MARK before OVER_TO_YOU")
-            reply = link.batch(lines)
-        except WireError as why:
-            stderr.write(f"adapter: {why}\n")
+            reply = processor.process(lines)
+        except WireError as error:
+            stderr.write(f"adapter: {error}\n")
             return 2
         stdout.write("\n".join(reply) + "\n")
         stdout.flush()
@@ -301,7 +302,7 @@
 
 
 def main() -> int:
-    """Run on standard input and output."""
+    """Run the adapter on standard input and output."""
     stdin = open(0, encoding="utf-8", newline="\n", closefd=False)
     stdout = open(1, "w", encoding="utf-8", newline="\n", closefd=False)
     return serve(stdin, stdout, sys.stderr)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire codec: clean ends, and a plain line for what cannot be read."""
+"""The simulator's protocol: replies, clean ends, and one line of error for a malformed message."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
     return serve(io.StringIO(text), out, err), out.getvalue(), err.getvalue()
 
 
-def test_a_request_is_sent_and_unknown_keys_are_ignored():
+def test_request_is_sent_and_unknown_keys_are_ignored():
     code, out, err = run(START + "MARK\t1000000001\t2\nABOUT\tgateway-0\n" + ITEM + "OVER_TO_YOU\n")
     assert code == 0 and not err
     assert "BY\tgateway-0\nTRANSMIT\tr-1\t0\tengine.a\nREMIND\t250000000\tlook\nACK\t2\n" in out
 
 
 @pytest.mark.parametrize(
-    "line, told",
+    "line, message",
     [
         ("NONSENSE\t1", "NONSENSE"),
         ("GONE", "expected 1 values"),
@@ -46,13 +46,13 @@
         ("CENSUS\t0\t3", "3 M lines"),
     ],
 )
-def test_what_cannot_be_read_is_told_in_one_line(line, told):
+def test_malformed_message_gives_one_line_of_error(line, message):
     batch = "MARK\t1000000001\t2\nABOUT\tgateway-0\n" + line.rstrip() + "\nOVER_TO_YOU\n"
     code, out, err = run(START + batch)
-    assert code != 0 and err.count("\n") == 1 and told in err and "ACK\t2" not in out
+    assert code != 0 and err.count("\n") == 1 and message in err and "ACK\t2" not in out
 
 
-def test_an_exception_in_the_module_is_told_on_the_wire(capsys):
+def test_exception_in_the_module_is_reported_as_die(capsys):
     bad = ITEM.replace("\t0\t0\t0\t-", "\t0\t0\t9\t-")
     code, out, _ = run(START + "MARK\t1000000001\t2\nABOUT\tgateway-0\n" + bad + "OVER_TO_YOU\n")
     assert code == 0 and "DIE\tIndexError" in out and "Traceback" in capsys.readouterr().err
