--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -20,12 +20,9 @@
 from .enginelist import limit_list, update_peers
 from .requestlog import RequestLog
 
-# Failed connects in a row after which an engine counts as unreachable.
-MAX_FAILED_CONNECTS = 3
-# Upper bound of the engines in the list where the memory sets none.
-MOST_ENGINES = 100_000
-# Seconds after its deadline at which a request without an answer fails here.
-DEADLINE_GRACE = 0.03
+UNREACHABLE_AT = 3  # failed connects in a row, from which an engine counts as unreachable
+MOST_ENGINES = 100_000  # upper bound of the engines in the list where the memory sets none
+EXPIRY_GRACE = 0.03  # seconds after its deadline at which a request without an answer fails here
 
 
 class Engines(Protocol):
@@ -94,9 +91,7 @@
             request.reply(request, Failed("the id of a request that is open"))
             return
         self.open[request.id] = request
-        request.deadline_timer = self.hub.timers.at(
-            request.deadline + DEADLINE_GRACE, self._past_deadline, request
-        )
+        request.deadline_timer = self.hub.timers.at(request.deadline + EXPIRY_GRACE, self._expire, request)
         if self.kept is None or not self._find_cached(request):
             self._start_request(request)
 
@@ -133,7 +128,7 @@
             )
         )
 
-    def _past_deadline(self, request: Call) -> None:
+    def _expire(self, request: Call) -> None:
         self.queue.put(books.Expired(request))
 
     def _on_ended(self, end: books.Ended) -> None:
@@ -152,7 +147,7 @@
         if ok and self.fleet is not None:
             self.fleet.ended(end)
         if ok and request.open:
-            if now <= request.deadline + DEADLINE_GRACE:
+            if now <= request.deadline + EXPIRY_GRACE:
                 self._final(request, Served(end.result))
             else:
                 outcome = api.Outcome.TIMEOUT
@@ -209,11 +204,7 @@
                 name
                 for name, peer in self.peers.items()
                 if peer.takes_work
-                and (
-                    peer.failed_connects >= MAX_FAILED_CONNECTS
-                    or name in engines
-                    and not engines[name].healthy
-                )
+                and (peer.failed_connects >= UNREACHABLE_AT or name in engines and not engines[name].healthy)
             ]
         )
 
