--- a/aspenrill/engines/base.py
+++ b/aspenrill/engines/base.py
@@ -116,17 +116,17 @@
                 if why.broken and broken < AFRESH:
                     continue
                 late = time.monotonic() >= attempt.begin_by and str(why) != "ECONNREFUSED"  # not its fault
-                blameless = why.scarce or late or not attempt.peer.takes_work
+                blameless = why.exhausted or late or not attempt.peer.takes_work
                 raise Over(Outcome.MOOT if blameless else Outcome.CONNECT_FAILED) from None
             if not attempt.wanted:  # the last look before the first byte
                 self.pools.give(attempt.peer, conn)
                 raise Over(Outcome.MOOT)
-            before = conn.written
+            before = conn.bytes_sent
             try:
                 conn.write_parts(request(), min(attempt.until, time.monotonic() + SILENT))
             except (Closed, TimedOut) as why:
                 self.pools.drop(conn)
-                if conn.written != before:
+                if conn.bytes_sent != before:
                     attempt.asked = attempt.heard = time.monotonic()
                     if isinstance(why, Closed):
                         attempt.peer.broke_at = attempt.heard
@@ -136,7 +136,7 @@
                     raise Over(Outcome.CONNECT_FAILED) from None
                 continue
             except BaseException:
-                if conn.written != before:
+                if conn.bytes_sent != before:
                     attempt.asked = time.monotonic()
                 self.pools.drop(conn)
                 raise
--- a/aspenrill/engines/http.py
+++ b/aspenrill/engines/http.py
@@ -9,7 +9,7 @@
 from ..api import Effect, NoteKind, Outcome, Settings
 from ..core.books import Attempt, Noted, Peer, Probed, Result
 from ..net.address import show
-from ..net.conn import Connection, left
+from ..net.conn import Connection, time_left
 from ..net.connecting import Refused
 from ..net.hub import Closed, Hub, TimedOut
 from ..wire import Malformed, http1
@@ -127,7 +127,7 @@
         while True:
             if time.monotonic() - attempt.heard > DEAF:
                 raise Over(Outcome.RESET)
-            left(attempt.until)
+            time_left(attempt.until)
             try:
                 return self.pools.take(attempt.peer, attempt.until, fresh=True)
             except Refused as why:
@@ -147,8 +147,8 @@
         return show(peer.address)
 
     def _ask(self, attempt: Attempt, conn: Connection, method: str, path: str) -> None:
-        if not conn.quiet():  # more came than belongs to the last answer, or an end
-            if conn.open and conn.ended():
+        if not conn.is_idle():  # more came than belongs to the last answer, or an end
+            if conn.open and conn.peer_closed():
                 attempt.peer.broke_at = time.monotonic()
             self.pools.look_at(conn)
             self.pools.drop(conn)
@@ -164,7 +164,7 @@
             if isinstance(why, Closed):
                 attempt.peer.broke_at = time.monotonic()
             self.pools.drop(conn)
-            left(attempt.until)
+            time_left(attempt.until)
             raise Lost from None
         except BaseException:
             self.pools.drop(conn)
@@ -185,7 +185,7 @@
                 if isinstance(why, Closed):
                     attempt.peer.broke_at = time.monotonic()
                 self.pools.drop(conn)
-            left(attempt.until)
+            time_left(attempt.until)
             if isinstance(why, Malformed):
                 self._spoilt(attempt, why)
             raise Lost from None
@@ -205,7 +205,7 @@
 
     def _leave(self, peer: Peer, conn: Connection) -> None:
         """Nobody waits for its answer any more; once that has come, the connection is good for another."""
-        if conn.begun:
+        if conn.mid_message:
             self.pools.drop(conn)
         else:
             self.hub.spawn(self._drain, peer, conn, name="drain")
@@ -219,16 +219,16 @@
         self._back(peer, conn, head)
 
     def _response(self, conn: Connection, until: float) -> tuple[http1.Head, bytes]:
-        conn.begun = False
+        conn.mid_message = False
         for _ in range(MOST_AHEAD):
             head = http1.response_head(conn.read_head(until))
-            conn.begun = True
+            conn.mid_message = True
             if head.status >= 200:
                 break
         else:
             raise Malformed("1xx without end")
         found = head, self._body(conn, head, until)
-        conn.begun = False
+        conn.mid_message = False
         return found
 
     def _body(self, conn: Connection, head: http1.Head, until: float) -> bytes:
@@ -389,7 +389,7 @@
             outcome = {200: Outcome.OK, 503: Outcome.FULL}.get(head.status, Outcome.ERROR)
             report = meter(head.headers.get("x-meter"), self.settings.report_fields)
         except Refused as why:
-            outcome = Outcome.OK if why.scarce else Outcome.CONNECT_FAILED
+            outcome = Outcome.OK if why.exhausted else Outcome.CONNECT_FAILED
         except TimedOut:
             outcome = Outcome.TIMEOUT
         except Closed:
--- a/aspenrill/engines/pool.py
+++ b/aspenrill/engines/pool.py
@@ -90,7 +90,7 @@
             self._next(peer)  # a turn that led only to another line is for the next in its own
             got = self._wait(line, Turn(peer, fresh), until, line is waited)
             if got is None and line is self.waiting:
-                raise Refused("no descriptor left for a connection", scarce=True)
+                raise Refused("no descriptor left for a connection", exhausted=True)
             if got is None:
                 raise self._unreached(peer, now)
             waited = line
@@ -103,14 +103,14 @@
         """An idle connection that is still sound, of those that have settled the latest used."""
         while peer.idle:
             if self.wary:
-                settled = peer.idle[0].used + SETTLE
+                settled = peer.idle[0].last_used_at + SETTLE
                 if settled > time.monotonic():
                     self._settle(peer, min(settled, until))
                     if settled > until:
                         return None
                     continue
-            conn = peer.idle.pop(0 if time.monotonic() < peer.idle[-1].used + SETTLE else -1)
-            self.hub.unidle(conn.fd)
+            conn = peer.idle.pop(0 if time.monotonic() < peer.idle[-1].last_used_at + SETTLE else -1)
+            self.hub.unwatch_idle(conn.fd)
             del self.resting[conn]
             if self._sound(conn, sure):
                 return conn
@@ -126,7 +126,7 @@
 
     def _sound(self, conn: Connection, sure: bool) -> bool:
         conn.reused = True
-        if not conn.open or not (sure or self.wary) or conn.quiet():
+        if not conn.open or not (sure or self.wary) or conn.is_idle():
             return conn.open
         self.look_at(conn)
         return False
@@ -139,7 +139,7 @@
 
     def look_at(self, conn: Connection) -> None:
         """A connection on which something came between two calls: more than was asked for, or its end."""
-        if conn.open and (len(conn.incoming) or conn.ended() is None):
+        if conn.open and (len(conn.incoming) or conn.peer_closed() is None):
             self.odd_at = time.monotonic()
 
     def _dial(self, turn: Turn, first: float, until: float) -> Connection:
@@ -163,12 +163,12 @@
                     conn, now = turn.found, time.monotonic()  # one that came up in this very moment
                     if conn is None and (len(dials) > 1 or not self._another(peer, now, until)):
                         why = self._unreached(peer, began)
-                        if now >= began + self.connect_for and not why.scarce:
+                        if now >= began + self.connect_for and not why.exhausted:
                             peer.failed_at = now
                         raise why from None
                     first = min(until, now + self.connect_for)
                 except Refused as why:
-                    if str(why) != "ECONNREFUSED" and not (why.scarce or why.broken):
+                    if str(why) != "ECONNREFUSED" and not (why.exhausted or why.broken):
                         peer.failed_at = time.monotonic()
                     raise
             for dial in dials:
@@ -195,7 +195,7 @@
 
     def _unreached(self, peer: Peer, since: float) -> Refused:
         """None came up. That proves nothing of an engine that has been reached since."""
-        return Refused("no connection in time", scarce=self.well_at.get(peer, since) > since)
+        return Refused("no connection in time", exhausted=self.well_at.get(peer, since) > since)
 
     def _bring(self, turn: Turn, until: float) -> None:
         """A task's work: bring one up for who waits, or else for whoever comes next."""
@@ -240,7 +240,7 @@
                 self.look_at(conn)
             self.drop(conn)
             return
-        conn.used = self.well_at[peer] = time.monotonic()
+        conn.last_used_at = self.well_at[peer] = time.monotonic()
         for line in (peer.waiting, self.waiting):
             if (
                 line
@@ -253,7 +253,7 @@
             return
         peer.idle.append(conn)
         self.resting[conn] = peer
-        self.hub.watch(conn.fd, self._news, peer, conn)
+        self.hub.watch_idle(conn.fd, self._news, peer, conn)
         if not self._sweeping:
             self._sweeping = True
             self.hub.timers.after(self.idle_for, self._sweep)
@@ -277,14 +277,14 @@
 
     def _news(self, peer: Peer, conn: Connection) -> None:
         """An idle connection has ended, or brings what nobody asked for."""
-        if conn.ended():
+        if conn.peer_closed():
             peer.broke_at = time.monotonic()
         else:
             self.look_at(conn)
         self._tired(peer, conn)
 
     def _tired(self, peer: Peer, conn: Connection) -> None:
-        self.hub.unidle(conn.fd)
+        self.hub.unwatch_idle(conn.fd)
         peer.idle.remove(conn)
         del self.resting[conn]
         self.drop(conn)
@@ -294,9 +294,9 @@
         self._sweeping, before = False, time.monotonic() - self.idle_for + 0.001
         while self.resting:
             conn, peer = next(iter(self.resting.items()))
-            if conn.used > before:
+            if conn.last_used_at > before:
                 self._sweeping = True
-                self.hub.timers.after(conn.used - before, self._sweep)
+                self.hub.timers.after(conn.last_used_at - before, self._sweep)
                 break
             self._tired(peer, conn)
 
--- a/aspenrill/engines/tds.py
+++ b/aspenrill/engines/tds.py
@@ -23,11 +23,11 @@
 
 def read_packet(conn: Connection, until: float) -> tuple[int, bool, bytes]:
     """Type, whether it ends its message, and content. A wait that is cut short loses nothing of it."""
-    conn.need(tds.HEAD.size, until)
+    conn.wait_for_bytes(tds.HEAD.size, until)
     kind, status, size = tds.packet_head(conn.incoming.peek(tds.HEAD.size))
     if size + tds.HEAD.size > tds.PACKET:
         raise Malformed(f"packet of {size} bytes, larger than agreed")
-    conn.need(tds.HEAD.size + size, until)
+    conn.wait_for_bytes(tds.HEAD.size + size, until)
     conn.incoming.drop(tds.HEAD.size)
     return kind, bool(status & tds.END_OF_MESSAGE), conn.incoming.pull(size)
 
@@ -140,6 +140,6 @@
             except Refused as why:
                 if why.broken and again < AFRESH - 1:
                     continue
-                outcome = Outcome.OK if why.scarce else Outcome.CONNECT_FAILED
+                outcome = Outcome.OK if why.exhausted else Outcome.CONNECT_FAILED
                 break
         self.post(Probed(peer, outcome, time.monotonic() - began, None))
--- a/aspenrill/fronts/tds.py
+++ b/aspenrill/fronts/tds.py
@@ -16,7 +16,7 @@
 
 from ..core.books import Asked, Call, Failed, Final, Left, Refused, Result, Served
 from ..net.conn import Connection
-from ..net.heldbytes import HeldBytes
+from ..net.heldbytes import PartialMessageBytes
 from ..net.hub import READ, Closed, Hub, Signal
 from ..wire import Malformed, tds
 from ..wire.sql import table_group
@@ -63,7 +63,7 @@
     def __init__(self, hub: Hub, mappings: Iterable[Mapping], post: Callable[[Any], None], name: str) -> None:
         self.hub, self.mappings, self.post, self.name = hub, tuple(mappings), post, name
         self.writing = 0
-        self.held = HeldBytes(MOST_HELD)
+        self.partial_bytes = PartialMessageBytes(MOST_HELD)
 
     def serve(self, conn: Connection) -> None:
         """A connection's task, from PRELOGIN to its end."""
@@ -94,7 +94,7 @@
         self.attention = False  # and is to be cut short
         self.ending = False  # nothing more is taken
         self.idle = Signal(service.hub)
-        conn.held = service.held
+        conn.partial_bytes = service.partial_bytes
 
     def run(self) -> None:
         """Read until the client closes; a request that is open then has lost its client."""
@@ -117,7 +117,7 @@
         """Take nothing more. What comes is discarded until what is owed is written, or the client ends: then
         its request has lost it. The connection is left for its orderly close."""
         conn = self.conn
-        self.ending, conn.begun, conn.stopped_for = True, False, ""
+        self.ending, conn.mid_message, conn.read_stop_reason = True, False, ""
         try:
             while (self.call is not None or self.busy) and not conn.over:
                 conn.discard()
@@ -136,7 +136,7 @@
         if call is not None:
             self.conn.busy -= 1
             call.gone = True
-            self.conn.abandoned.append(call.id)
+            self.conn.unanswered.append(call.id)
             self.service.post(Left(call))
 
     # ---- reading --------------------------------------------------------------------------------------
@@ -146,7 +146,7 @@
         parts, size, last, kind = [], 0, False, None
         while not last:
             head = tds.packet_head(self.conn.read(tds.HEAD.size, None))
-            self.conn.begun = True
+            self.conn.mid_message = True
             if kind not in (None, head[0]):
                 raise Malformed("a message of two types")
             kind = head[0]
@@ -157,7 +157,7 @@
             last = bool(head[1] & tds.END_OF_MESSAGE)
             if last and head[1] & tds.IGNORE:
                 kind, parts = 0, []
-        self.conn.begun = False
+        self.conn.mid_message = False
         return kind, b"".join(parts)
 
     def _open(self) -> None:
@@ -175,14 +175,14 @@
             self._end_with(tds.error(UNKNOWN_LOGIN, text, 14))
             raise Closed("login refused")
         self.login, self.mapping = login, mapping
-        self.conn.spoke, self.conn.used = True, time.monotonic()
+        self.conn.spoke, self.conn.last_used_at = True, time.monotonic()
         self.conn.write(tds.packets(tds.REPLY, tds.login_answer(login, self.service.name)), None)
 
     def _message(self) -> None:
         if self.conn.draining:
-            self.conn.end_if_quiet()
+            self.conn.close_if_idle()
         kind, body = self._read()
-        self.conn.used = arrived = time.monotonic()
+        self.conn.last_used_at = arrived = time.monotonic()
         if kind == tds.ATTENTION:
             self._attend()
         elif kind == 0:
@@ -216,7 +216,7 @@
         except ValueError as why:
             self._say([tds.error(UNUSABLE, str(why)), tds.done(tds.BAD)])
             return
-        spent = max(self.service.hub.lag(), arrived - self.conn.came_after)
+        spent = max(self.service.hub.lag(), arrived - self.conn.received_after)
         patience = max(0.0, mapping.timeout - spent)
         self.call = Call(
             os.urandom(8).hex(),
@@ -273,7 +273,7 @@
             head = tds.HEAD.pack(
                 tds.REPLY, tds.END_OF_MESSAGE if last else 0, tds.HEAD.size + len(data), 0, number & 0xFF, 0
             )
-            self.conn.writing_since = time.monotonic()
+            self.conn.write_started_at = time.monotonic()
             self.conn.write(head + data, None)
 
         try:
@@ -299,19 +299,19 @@
             self._left()
         finally:
             self.busy = self.attention = False
-            self.conn.writing_since = 0.0
+            self.conn.write_started_at = 0.0
             self.conn.busy -= 1
-            self.conn.used = time.monotonic()
+            self.conn.last_used_at = time.monotonic()
             self.service.writing -= 1
             self.idle.set()
             if self.ending:
                 self.service.hub.end_wait(self.conn.fd, READ, Closed("all is written"))
             elif self.conn.draining:
-                self.conn.end_if_quiet()
+                self.conn.close_if_idle()
 
     def _end_with(self, token: bytes) -> None:
         """A last word, if the client takes it at once."""
         try:
-            self.conn.offer(tds.packets(tds.REPLY, token + tds.done(tds.BAD)))
+            self.conn.try_write(tds.packets(tds.REPLY, token + tds.done(tds.BAD)))
         except Closed:
             pass
--- a/aspenrill/fronts/thrift.py
+++ b/aspenrill/fronts/thrift.py
@@ -14,7 +14,7 @@
 
 from ..core.books import Asked, Call, Failed, Final, Left, Refused, Served
 from ..net.conn import Connection
-from ..net.heldbytes import HeldBytes
+from ..net.heldbytes import PartialMessageBytes
 from ..net.hub import Closed, Hub
 from ..wire import Malformed, thrift
 from .thrift_answers import AnswerWriter, UnreadBytes
@@ -56,7 +56,7 @@
         self.shed = {"holdoff": str(round(come_back * 1000))} if come_back > 0 else {}
         self.hub, self.post, self.well = hub, post, well
         self.reader = RequestReader(classes, keyed, tenants)
-        self.held = HeldBytes(MOST_HELD)
+        self.partial_bytes = PartialMessageBytes(MOST_HELD)
         self.unread = UnreadBytes()
 
     def serve(self, conn: Connection) -> None:
@@ -76,7 +76,7 @@
         self.last = 0  # sequence number of the last call: they start at 1 and count up
         self.unseen = False  # something was read that nobody has looked through
         self.forgotten: set[int] = set()  # numbers of calls behind which a `forget` lies that has been read
-        conn.held = service.held
+        conn.partial_bytes = service.partial_bytes
 
     def run(self) -> None:
         """Read until the client ends, or what comes is no messages; what was taken gets its answer before the
@@ -130,7 +130,7 @@
         may lie behind much else, and nothing may begin later than 0.1 s after it. The system is asked where
         it may hold more, or where the turns of 32 messages may take that long."""
         self.unseen, conn = False, self.conn
-        if not conn.dry or self.service.hub.lag() > BEHIND:
+        if not conn.wait_before_read or self.service.hub.lag() > BEHIND:
             self._check_there()
         inbox = conn.incoming
         if inbox.find(FORGET) < 0:
@@ -148,15 +148,15 @@
         conn = self.conn
         if not len(conn.incoming):
             if conn.draining:
-                conn.end_if_quiet()
+                conn.close_if_idle()
             conn.fill(None)
             self.unseen = True
-        conn.begun = True
+        conn.mid_message = True
         data, start, end = conn.frame(MOST_FRAME, None)
-        conn.begun = False
+        conn.mid_message = False
         if not start:
             self.unseen = True  # it did not come whole: more was read with its rest
-        conn.used = arrived = time.monotonic()
+        conn.last_used_at = arrived = time.monotonic()
         try:
             self._message(data, start, end, arrived)
         except Closed:
@@ -274,7 +274,7 @@
     def _serve(self, seqid: int, fields: dict[bytes, bytes] | None, statement: Any, arrived: float) -> None:
         if seqid in self.forgotten:
             return
-        lag, lay = self.service.hub.lag(), arrived - self.conn.came_after
+        lag, lay = self.service.hub.lag(), arrived - self.conn.received_after
         spent = lag if lag > lay else lay
         try:
             call = self.service.reader.read(fields, statement, arrived, spent, self._answer, seqid)
@@ -293,7 +293,7 @@
             return
         del self.open[seqid]
         self.conn.busy -= 1
-        self.conn.used = time.monotonic()
+        self.conn.last_used_at = time.monotonic()
         match final:
             case Served(result) if result.form != "text":
                 self._fail(seqid, "the result is not text")
@@ -329,7 +329,7 @@
         """Take nothing more: what comes cannot be read as messages, or the client has gone. It is discarded
         until all owed is written, or the client ends."""
         conn, hub = self.conn, self.service.hub
-        conn.draining, conn.begun, conn.stopped_for = True, False, ""  # its last answer ends it
+        conn.draining, conn.mid_message, conn.read_stop_reason = True, False, ""  # its last answer ends it
         try:
             while conn.busy and not conn.over:
                 conn.discard()
@@ -354,7 +354,7 @@
         self.conn.busy -= len(self.open)
         for call in self.open.values():
             call.gone = True
-            self.conn.abandoned.append(call.id)
+            self.conn.unanswered.append(call.id)
             self.service.post(Left(call))
         self.open.clear()
 
--- a/aspenrill/fronts/thrift_answers.py
+++ b/aspenrill/fronts/thrift_answers.py
@@ -52,7 +52,7 @@
             return
         if not self._parts:
             self.conn.busy += 1  # it must not give way to another before this has gone out
-            self.hub.soon(self.flush)
+            self.hub.call_before_poll(self.flush)
         self._parts += parts
 
     def forget(self, number: int) -> None:
@@ -71,14 +71,14 @@
         if not self.conn.open:
             return
         try:
-            rest = self.conn.offer_parts(parts)
+            rest = self.conn.try_write_parts(parts)
         except Closed:
             self._break()
             return
         if rest:
             self._begin(parts, rest)
         elif self.conn.draining:
-            self.conn.end_if_quiet()
+            self.conn.close_if_idle()
 
     def wait(self) -> None:
         """Until all is written, or the connection is closed."""
@@ -113,18 +113,18 @@
             while self._queue:
                 _, data = self._queue.popleft()
                 self.unread.total -= len(data)
-                self.conn.writing_since = time.monotonic()
+                self.conn.write_started_at = time.monotonic()
                 self.conn.write(data, None)
         except Closed:
             self._break()
         finally:
             self.unread.total -= self._bytes()
             self._queue.clear()
-            self.busy, self.conn.writing_since = False, 0.0
+            self.busy, self.conn.write_started_at = False, 0.0
             self.conn.busy -= 1
             self.unread.writing -= 1
             if self.conn.draining:
-                self.conn.end_if_quiet()
+                self.conn.close_if_idle()
             if self._done is not None:
                 self._done.set()
 
--- a/aspenrill/net/__init__.py
+++ b/aspenrill/net/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks, waits and sockets: greenlet over select.poll."""
+"""The event loop, tasks, timers, TCP connections and logging: greenlet over select.poll."""
--- a/aspenrill/net/address.py
+++ b/aspenrill/net/address.py
@@ -1,32 +1,35 @@
-"""Numeric addresses, IPv4 and IPv6, as text and as sockets want them."""
+"""Numeric IPv4 and IPv6 addresses: parsing and formatting."""
 
 from __future__ import annotations
 
 import socket
 
-MAPPED = b"\0" * 10 + b"\xff\xff"
+IPV4_MAPPED_PREFIX = b"\0" * 10 + b"\xff\xff"  # prefix of an IPv4-mapped IPv6 address
 
 
 def family_of(host: str) -> int:
-    """The address family of a numeric host."""
+    """Returns the address family of a numeric host."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
 def plain(host: str) -> str:
-    """A numeric host in its usual spelling; an IPv4 one that stands within IPv6 (RFC 4291, 2.5.5.2) as what
-    it is, so that one address has one name. ValueError where it is none."""
+    """Returns a numeric host in its canonical form, so that equal addresses compare equal as text.
+
+    An IPv4-mapped IPv6 address (RFC 4291, 2.5.5.2) becomes the IPv4 address. Raises ValueError if the host is
+    not numeric.
+    """
     family = family_of(host)
     try:
         packed = socket.inet_pton(family, host)
     except OSError:
         raise ValueError(f"{host!r} is not a numeric address") from None
-    if packed[:12] == MAPPED and len(packed) == 16:
+    if packed[:12] == IPV4_MAPPED_PREFIX and len(packed) == 16:
         family, packed = socket.AF_INET, packed[12:]
     return socket.inet_ntop(family, packed)
 
 
 def parse(text: str) -> tuple[str, int]:
-    """ADDRESS:PORT, an IPv6 address in brackets (RFC 3986, 3.2.2); ValueError where it is not that."""
+    """Parses ADDRESS:PORT, with an IPv6 address in brackets (RFC 3986, 3.2.2). Raises ValueError."""
     host, _, port = text.rpartition(":")
     bare = host[1:-1] if host[:1] == "[" and host[-1:] == "]" else host
     if (":" in bare) is (bare is host):
@@ -38,6 +41,6 @@
 
 
 def show(address: tuple[str, int]) -> str:
-    """As `parse` reads it."""
+    """Formats an address in the form that `parse` reads."""
     host, port = address[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/aspenrill/net/conn.py
+++ b/aspenrill/net/conn.py
@@ -1,4 +1,4 @@
-"""A TCP connection with one bounded buffer a direction; every wait on it has its time."""
+"""A TCP connection with one bounded buffer for each direction; every blocking call takes a deadline."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from .heldbytes import HeldBytes
+from .heldbytes import PartialMessageBytes
 from .hub import READ, WRITE, Closed, Hub, TimedOut
 from .inbox import Inbox
 from .ring import Ring
 
-RING = 16384
-LEAST_READ = 2048  # bytes asked for in one read; more after one that was filled, until few come
-MOST_PARTS = 512  # that one vectored write takes, well under IOV_MAX
+DEFAULT_BUFFER_SIZE = 16384  # bytes of the buffer for each direction
+MIN_READ_SIZE = 2048  # bytes; a read size grows while reads fill it and falls back to this after a small one
+MAX_SEND_PARTS = 512  # buffers passed to one sendmsg, below IOV_MAX
 AGAIN = (BlockingIOError, InterruptedError)
-NO_MEMORY = (errno.ENOBUFS, errno.ENOMEM)  # of the system, for a moment: the connection is as it was
-UNREACHED = (  # the way there is broken, for a moment unless the system has given the connection up
+NO_MEMORY_ERRNOS = (errno.ENOBUFS, errno.ENOMEM)  # transient; the connection is unaffected
+UNREACHABLE_ERRNOS = (  # the path is down: transient unless the kernel has given up the connection
     errno.ETIMEDOUT,
     errno.EHOSTUNREACH,
     errno.ENETUNREACH,
@@ -30,14 +30,14 @@
     errno.EPROTO,
     errno.ENOPROTOOPT,
 )
-ERROR_PAUSE = 0.005  # seconds until a call that failed by such an error is tried again
-PEEKS = 5  # tries of a look at what has come
-UNSEEN = b"\0"  # what a look brings that cannot be had: as if something lay there
-ENDS = getattr(select, "POLLRDHUP", 0)  # also with bytes unread before the end; 0 where the system lacks it
+ERROR_RETRY_DELAY = 0.005  # seconds until a call that failed with a transient error is repeated
+MAX_PEEKS = 5  # attempts to peek at the next byte when the call fails
+PEEK_FAILED = b"\0"  # result of a peek that kept failing: treated like an unread byte
+HANGUP_EVENTS = getattr(select, "POLLRDHUP", 0)  # also if unread data precedes the end; 0: not available
 
 
-def left(until: float | None) -> float | None:
-    """Seconds until a moment of the monotonic clock; TimedOut once it has passed."""
+def time_left(until: float | None) -> float | None:
+    """Returns the seconds until a deadline of the monotonic clock. Raises TimedOut if it has passed."""
     if until is None:
         return None
     seconds = until - time.monotonic()
@@ -47,171 +47,175 @@
 
 
 class Connection:
-    """Reads and writes through its rings; Closed when it is over, TimedOut when a wait is."""
+    """A TCP connection. Calls raise Closed once it has ended and TimedOut when their deadline passes."""
 
-    def __init__(self, hub: Hub, sock: socket.socket, ring: int = RING) -> None:
+    def __init__(self, hub: Hub, sock: socket.socket, ring: int = DEFAULT_BUFFER_SIZE) -> None:
         self.hub, self.sock, self.fd = hub, sock, sock.fileno()
         sock.setblocking(False)
-        with contextlib.suppress(OSError):  # slower without, but as good
+        with contextlib.suppress(OSError):  # only costs latency
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.incoming, self.outgoing = Inbox(ring), Ring(ring)
         self.open = True
-        self.shut = False  # our write side is: what still comes is discarded, never taken
-        self.shut_at = 0.0
-        self.ended_here = False  # this side ended it first
-        self.over = False  # the other side's end has been read, or it broke
-        self.starved = False  # the last write failed by an error that passes
-        self.dry = False  # the last read took all there was: the next waits first
-        self.grab = min(LEAST_READ, ring)
-        self.reused = False  # for a pool: carried a call before
-        self.begun = False  # within a message, so that nobody else can read on
-        self.written = 0  # bytes that the system has taken over
-        self.spoke, self.busy = False, 0  # for a listener: sent a whole message; how much is open on it
-        self.requests = 0  # that have come on it
-        self.draining = False  # to end, in order, once nothing is open on it
-        self.used = time.monotonic()  # when it was last of use
-        self.end_reason = ""  # why this side ends it, for the log
-        self.peer = ""  # the other side's address, for the log
-        self.made_at = self.used
-        self.came_after = hub.news_since  # what has been read came later than that
-        self.held: HeldBytes | None = None  # where bytes of messages in parts are counted
-        self.stopped_for = ""  # why nothing more is read
-        self.evicted = False  # ended for another's place
-        self.writing_since = 0.0  # when the answer that is being written began; 0: none
-        self.abandoned: list[str] = []  # ids of requests that had no answer when it ended
-        self.discarded = 0  # bytes read and not taken, since this side ends it
+        self.write_shut = False  # the write side is shut down; further input is discarded, never processed
+        self.write_shut_at = 0.0
+        self.closed_locally = False  # this side closed first
+        self.over = False  # end of stream was read, or the connection broke
+        self.send_failed = False  # the last write failed with a transient error
+        self.wait_before_read = False  # the last read emptied the socket, so wait before the next one
+        self.read_size = min(MIN_READ_SIZE, ring)
+        self.reused = False  # for a pool: has carried a request before
+        self.mid_message = False  # a message has been read in part
+        self.bytes_sent = 0  # bytes accepted by the kernel
+        self.spoke = False  # for a listener: the peer has sent a complete message
+        self.busy = 0  # for a listener: open requests and answers not yet written
+        self.requests = 0  # requests received on it
+        self.draining = False  # close it in order as soon as nothing is open on it
+        self.last_used_at = time.monotonic()
+        self.end_reason = ""  # why this side closes it, for the log
+        self.peer = ""  # remote address, for the log
+        self.created_at = self.last_used_at
+        self.received_after = hub.arrivals_after  # the data read last arrived after this moment
+        self.partial_bytes: PartialMessageBytes | None = None  # counts the bytes of incomplete messages
+        self.read_stop_reason = ""  # why reading was stopped
+        self.evicted = False  # closed to make a slot free for another connection
+        self.write_started_at = 0.0  # start of the write in progress; 0: none
+        self.unanswered: list[str] = []  # ids of requests that were unanswered when it ended
+        self.discarded_bytes = 0  # bytes read but not processed because it is closing
 
     def close(self) -> None:
-        """Over; tasks that wait on it get Closed. May be called twice."""
+        """Closes the socket; tasks that wait on it get Closed. May be called twice."""
         if self.open:
             self.open = False
             self.hub.forget_fd(self.fd)
-            with contextlib.suppress(OSError):  # EINTR, EIO: the descriptor is free all the same
+            with contextlib.suppress(OSError):  # EINTR, EIO: the descriptor is released all the same
                 self.sock.close()
             self.incoming.clear()
             self.outgoing.clear()
 
-    def end(self, reason: str = "") -> None:
-        """Begin the orderly close: shut the write side. A task that reads gets Closed and is to `linger`."""
-        if self.open and not self.shut:
+    def begin_close(self, reason: str = "") -> None:
+        """Begins the orderly close by shutting down the write side.
+
+        A task that reads the connection gets Closed and should then call `linger`.
+        """
+        if self.open and not self.write_shut:
             self.end_reason = self.end_reason or reason
-            self.shut, self.shut_at, self.ended_here = True, time.monotonic(), not self.over
+            self.write_shut, self.write_shut_at, self.closed_locally = True, time.monotonic(), not self.over
             try:
                 self.sock.shutdown(socket.SHUT_WR)
             except OSError:
-                self.over = True  # reset meanwhile
+                self.over = True  # already reset
             self.hub.end_wait(self.fd, READ, Closed("ended here"))
 
-    def end_if_quiet(self) -> bool:
-        """`end` it where nothing is open on it and nothing lies unread, in the system neither."""
-        quiet = self.open and not (self.shut or self.busy or self.begun or len(self.incoming))
-        if quiet and (quiet := self.ended() is not None):
-            self.end("drained")
-        return quiet
+    def close_if_idle(self) -> bool:
+        """Begins the orderly close if nothing is open or unread, in the kernel either; whether it did."""
+        idle = self.open and not (self.write_shut or self.busy or self.mid_message or len(self.incoming))
+        if idle and (idle := self.peer_closed() is not None):
+            self.begin_close("drained")
+        return idle
 
     def linger(self, seconds: float) -> None:
-        """The orderly close: `end` it, discard what comes until the other side's end or for so long, close.
+        """Lingering close: shuts down the write side, discards input until the peer closes or a time-out.
 
-        A close over unread bytes would reset it, and what the system has still to pass on be lost with that.
-        One that was ended for another's place, and on which nothing was ever written, is closed at once.
+        Closing with unread data would send a reset, and data the kernel has not delivered yet would be lost.
+        An evicted connection on which nothing was ever written is closed at once.
         """
-        self.end()
+        self.begin_close()
         self.discard()
-        until = time.monotonic() + (0.0 if self.evicted and not self.written else seconds)
+        until = time.monotonic() + (0.0 if self.evicted and not self.bytes_sent else seconds)
         try:
             while self.open and not self.over:
                 try:
-                    count = len(self.sock.recv(RING))
+                    count = len(self.sock.recv(DEFAULT_BUFFER_SIZE))
                     self.over = not count
-                    self.discarded += count
+                    self.discarded_bytes += count
                 except AGAIN:
-                    self.hub.wait_fd(self.fd, READ, left(until))
+                    self.hub.wait_fd(self.fd, READ, time_left(until))
                     continue
                 except OSError as why:
-                    if not self._passes(why):
+                    if not self._is_transient(why):
                         break
-                    self._pause(until)
+                    self._pause_after_error(until)
                     continue
-                left(until)
-                self.hub.give_way()  # a flood is not to starve the others
+                time_left(until)
+                self.hub.give_way()  # constant input must not starve other tasks
         except (Closed, TimedOut):
             pass
         finally:
             self.close()
 
     def stop_reading(self, reason: str) -> None:
-        """Its reader gets Closed, now or at its next wait: what is open can still be answered."""
-        if self.open and not self.shut:
-            self.stopped_for = reason
+        """Makes the reading task get Closed, now or at its next wait. Open requests can still be answered."""
+        if self.open and not self.write_shut:
+            self.read_stop_reason = reason
             self.hub.end_wait(self.fd, READ, Closed(reason))
 
     def discard(self) -> None:
-        """Drop what has been read and not taken; it is counted."""
-        self.discarded += len(self.incoming)
+        """Drops and counts the input that was read but not processed."""
+        self.discarded_bytes += len(self.incoming)
         self.incoming.clear()
 
     # ---- reading --------------------------------------------------------------------------------------
 
     def fill(self, until: float | None) -> None:
-        """Read what has come, waiting for the first byte."""
+        """Reads available data into the buffer, waiting for the first byte."""
         inbox = self.incoming
         while True:
             if not self.open:
                 raise Closed("closed here")
-            if self.shut:
+            if self.write_shut:
                 raise Closed("ended here")
-            if self.stopped_for:
-                raise Closed(self.stopped_for)
-            if self.dry:
-                self.dry = False
-                inbox.rest()
-                self.hub.wait_fd(self.fd, READ, left(until))
-                self.came_after = self.hub.news_since
+            if self.read_stop_reason:
+                raise Closed(self.read_stop_reason)
+            if self.wait_before_read:
+                self.wait_before_read = False
+                inbox.release_buffer()
+                self.hub.wait_fd(self.fd, READ, time_left(until))
+                self.received_after = self.hub.arrivals_after
                 continue
             try:
                 if not len(inbox):
-                    asked = self.grab
+                    asked = self.read_size
                     data = self.sock.recv(asked)
                     count = len(data)
-                    inbox.took(data)
+                    inbox.store(data)
                 else:
                     space = inbox.space()
                     asked = len(space)
                     count = self.sock.recv_into(space) if asked else -2
-                    inbox.added(max(0, count))
+                    inbox.commit(max(0, count))
             except AGAIN:
-                count = -1  # the wait is not within the handler: its error would hold this for as long
+                count = -1  # wait outside the handler, which would keep the exception and its frames alive
             except OSError as why:
-                if not self._passes(why):
+                if not self._is_transient(why):
                     self.over = True
                     raise Closed(str(why)) from None
                 count = -3
             if count > 0:
-                self.dry = count < asked
+                self.wait_before_read = count < asked
                 if count == asked:
-                    self.grab = min(4 * self.grab, inbox.capacity)
-                elif count <= LEAST_READ and self.grab > LEAST_READ:
-                    self.grab = LEAST_READ
+                    self.read_size = min(4 * self.read_size, inbox.capacity)
+                elif count <= MIN_READ_SIZE and self.read_size > MIN_READ_SIZE:
+                    self.read_size = MIN_READ_SIZE
                 return
             if count == -3:
-                self._pause(until)
+                self._pause_after_error(until)
                 continue
             if count != -1:
                 self.over = not count
                 raise Closed("more than fits" if count else "end of stream")
-            self.dry = True
+            self.wait_before_read = True
 
-    def _pause(self, until: float | None) -> None:
-        """A call failed by an error that passes: until it is tried again."""
-        seconds = left(until)
-        self.hub.sleep(ERROR_PAUSE if seconds is None else min(ERROR_PAUSE, seconds))
+    def _pause_after_error(self, until: float | None) -> None:
+        """Sleeps before a call that failed with a transient error is repeated."""
+        seconds = time_left(until)
+        self.hub.sleep(ERROR_RETRY_DELAY if seconds is None else min(ERROR_RETRY_DELAY, seconds))
 
-    def _passes(self, why: OSError) -> bool:
-        """Whether the connection is as it was, behind an error of a call."""
-        return why.errno in NO_MEMORY or why.errno in UNREACHED and not self.hung_up()
+    def _is_transient(self, why: OSError) -> bool:
+        """Whether an error of a socket call is transient and leaves the connection usable."""
+        return why.errno in NO_MEMORY_ERRNOS or why.errno in UNREACHABLE_ERRNOS and not self.hung_up()
 
     def read(self, count: int, until: float | None) -> bytes:
-        """Exactly so many bytes; also more than the ring holds."""
+        """Reads exactly `count` bytes, which may be more than the buffer holds."""
         if len(self.incoming) >= count:
             return self.incoming.pull(count)
         parts, missing = [], count
@@ -221,33 +225,33 @@
                     self.fill(until)
                 parts.append(self.incoming.pull(missing))
                 missing -= len(parts[-1])
-                if self.held is not None and missing:
-                    self.held.hold(self, count - missing)
+                if self.partial_bytes is not None and missing:
+                    self.partial_bytes.set_held(self, count - missing)
         finally:
-            if self.held is not None:
-                self.held.release(self)
+            if self.partial_bytes is not None:
+                self.partial_bytes.release(self)
         return b"".join(parts)
 
-    def need(self, count: int, until: float | None) -> None:
-        """Wait until so many bytes lie in the ring; cut short, nothing of them is lost."""
+    def wait_for_bytes(self, count: int, until: float | None) -> None:
+        """Waits until `count` bytes are buffered. An interrupted wait loses no data."""
         while len(self.incoming) < count:
             self.fill(until)
 
     def read_until(self, mark: bytes, until: float | None) -> bytes:
-        """All up to and with the mark; Closed where the ring fills without it."""
-        return self.incoming.pull(self._up_to(mark, until))
+        """Reads up to and including the delimiter. Raises Closed if the buffer fills up without it."""
+        return self.incoming.pull(self._size_through(mark, until))
 
     def read_head(self, until: float | None) -> str:
-        """A head of lines up to and with its empty line, as Latin-1 text; Closed as above."""
-        size, inbox = self._up_to(b"\r\n\r\n", until), self.incoming
+        """Reads an HTTP head including its empty line as Latin-1 text. Raises Closed as `read_until` does."""
+        size, inbox = self._size_through(b"\r\n\r\n", until), self.incoming
         if not inbox.data:
             return inbox.pull(size).decode("latin-1")
         text = str(memoryview(inbox.data)[inbox.at : inbox.at + size], "latin-1")
         inbox.drop(size)
         return text
 
-    def _up_to(self, mark: bytes, until: float | None) -> int:
-        """How many bytes there are up to and with the mark, once it has come."""
+    def _size_through(self, mark: bytes, until: float | None) -> int:
+        """Waits for the delimiter; returns the number of bytes up to and including it."""
         seen, inbox = 0, self.incoming
         while True:
             at = inbox.find(mark, max(0, seen - len(mark) + 1)) if len(inbox) else -1
@@ -259,8 +263,11 @@
             self.fill(until)
 
     def frame(self, most: int, until: float | None) -> tuple[bytes, int, int]:
-        """A message behind its length of 4 bytes, as bytes with its start and end there; Closed where it is
-        empty or longer than `most`. One that came whole is not copied."""
+        """Reads a message with a 4-byte length prefix; returns a buffer and the message's bounds in it.
+
+        Raises Closed if the message is empty or longer than `most`. A message that is buffered completely is
+        not copied.
+        """
         inbox = self.incoming
         data, at = inbox.data, inbox.at
         if len(data) - at > 4:
@@ -273,8 +280,8 @@
             raise Closed(f"frame of {size} bytes")
         return self.read(size, until), 0, size
 
-    def quiet(self) -> bool:
-        """Nothing has come, no end either: fit for another call."""
+    def is_idle(self) -> bool:
+        """Whether nothing is unread and the peer has not closed: usable for another request."""
         if not self.open or len(self.incoming):
             return False
         try:
@@ -282,8 +289,8 @@
         except OSError:
             return False
 
-    def ended(self) -> bool | None:
-        """Whether the other side has closed, as far as can be seen; None where something lies unread."""
+    def peer_closed(self) -> bool | None:
+        """Whether the peer has closed, as far as is visible; None if data is unread."""
         try:
             seen = self._peek()
         except OSError:
@@ -291,8 +298,8 @@
         return False if seen is None else not seen or None
 
     def _peek(self) -> bytes | None:
-        """The next byte, which stays; b"" at the end, None where nothing has come; OSError where it broke."""
-        for _ in range(PEEKS):
+        """Peeks at the next byte: b"" at end of stream, None if there is no data. Raises OSError."""
+        for _ in range(MAX_PEEKS):
             try:
                 return self.sock.recv(1, socket.MSG_PEEK)
             except BlockingIOError:
@@ -300,24 +307,24 @@
             except InterruptedError:
                 continue
             except OSError as why:
-                if not self._passes(why):
+                if not self._is_transient(why):
                     raise
-        return UNSEEN
+        return PEEK_FAILED
 
     def hung_up(self) -> bool:
-        """Whether the other side has ended or reset it, also where bytes lie unread before its end."""
+        """Whether the peer has closed or reset the connection, even if unread data precedes the FIN."""
         look = select.poll()
-        look.register(self.fd, ENDS)
+        look.register(self.fd, HANGUP_EVENTS)
         try:
             return bool(look.poll(0))
         except OSError:
-            return False  # no memory for the look: its end will be read
+            return False  # no memory for the poll: a later read will find the end
 
     # ---- writing --------------------------------------------------------------------------------------
 
     def write(self, data: bytes, until: float | None) -> None:
-        """Pass all of it to the system, at the pace at which the other side takes it."""
-        done = self.offer(data)
+        """Sends all of `data`, as fast as the peer accepts it."""
+        done = self.try_write(data)
         while done < len(data) or len(self.outgoing):
             if done < len(data):
                 done += self.outgoing.push(memoryview(data)[done:])
@@ -325,60 +332,60 @@
             self.outgoing.drop(count)
             if not count:
                 self._wait_to_write(until)
-        self.outgoing.rest()
+        self.outgoing.release_buffer()
 
     def _wait_to_write(self, until: float | None) -> None:
-        if self.starved:
-            self._pause(until)  # poll would say at once that it can be written
+        if self.send_failed:
+            self._pause_after_error(until)  # poll would report it writable at once
         else:
-            self.hub.wait_fd(self.fd, WRITE, left(until))
+            self.hub.wait_fd(self.fd, WRITE, time_left(until))
 
     def write_parts(self, parts: list[bytes], until: float | None) -> None:
-        """As `write`, for parts that need not be joined: where the system takes all, none is copied."""
-        rest = self.offer_parts(parts)
+        """Like `write` for a list of buffers; copies nothing if the kernel accepts all of them at once."""
+        rest = self.try_write_parts(parts)
         if rest:
             self.write(rest, until)
 
-    def offer_parts(self, parts: list[bytes]) -> bytes:
-        """Pass on what the system takes at once, if nothing waits before it; what is left of them."""
+    def try_write_parts(self, parts: list[bytes]) -> bytes:
+        """Sends what the kernel accepts at once, if nothing is queued; returns the unsent data."""
         if len(self.outgoing):
             return b"".join(parts)
         at = 0
         while at < len(parts):
-            some = parts[at : at + MOST_PARTS] if len(parts) > MOST_PARTS else parts
-            count = self._send(some[0]) if len(some) == 1 else self._pass(self.sock.sendmsg, some)
+            some = parts[at : at + MAX_SEND_PARTS] if len(parts) > MAX_SEND_PARTS else parts
+            count = self._send(some[0]) if len(some) == 1 else self._call_send(self.sock.sendmsg, some)
             if count < sum(map(len, some)):
-                return _beyond(parts[at:], count)
+                return _unsent(parts[at:], count)
             at += len(some)
         return b""
 
-    def offer(self, data: bytes) -> int:
-        """Pass on what the system takes at once, if nothing waits before it; how much that was."""
+    def try_write(self, data: bytes) -> int:
+        """Sends what the kernel accepts at once, if nothing is queued; returns the number of bytes."""
         return 0 if len(self.outgoing) else self._send(data)
 
     def _send(self, data: bytes | memoryview) -> int:
-        return self._pass(self.sock.send, data)
+        return self._call_send(self.sock.send, data)
 
-    def _pass(self, call: Callable[[Any], int], data: Any) -> int:
-        """Hand it to the system; how many bytes it took, 0 where it takes none just now."""
+    def _call_send(self, call: Callable[[Any], int], data: Any) -> int:
+        """Calls a send function; returns the number of bytes accepted, 0 if it would block."""
         if not self.open:
             raise Closed("closed here")
-        self.starved = False
+        self.send_failed = False
         try:
             count = call(data)
         except AGAIN:
             return 0
         except OSError as why:
-            if not self._passes(why):
+            if not self._is_transient(why):
                 raise Closed(str(why)) from None
-            self.starved = True
+            self.send_failed = True
             return 0
-        self.written += count
+        self.bytes_sent += count
         return count
 
 
-def _beyond(parts: list[bytes], count: int) -> bytes:
-    """What lies behind the first bytes of some parts."""
+def _unsent(parts: list[bytes], count: int) -> bytes:
+    """Joins `parts` without their first `count` bytes."""
     for at, part in enumerate(parts):
         if count < len(part):
             return b"".join([part[count:], *parts[at + 1 :]])
--- a/aspenrill/net/connecting.py
+++ b/aspenrill/net/connecting.py
@@ -1,4 +1,4 @@
-"""New connections to others."""
+"""Outgoing TCP connections."""
 
 from __future__ import annotations
 
@@ -6,47 +6,54 @@
 import socket
 
 from .address import family_of
-from .conn import NO_MEMORY, RING, Connection, left
+from .conn import DEFAULT_BUFFER_SIZE, NO_MEMORY_ERRNOS, Connection, time_left
 from .hub import WRITE, Closed, Hub, TimedOut
 
-SCARCE = (errno.EADDRNOTAVAIL, errno.EAGAIN, *NO_MEMORY)  # no port or room for a connection just now
-NO_SOCKET = (errno.EMFILE, errno.ENFILE, *NO_MEMORY)  # none is to be had just now
+EXHAUSTION_ERRNOS = (errno.EADDRNOTAVAIL, errno.EAGAIN, *NO_MEMORY_ERRNOS)  # no local port or memory
+NO_DESCRIPTOR_ERRNOS = (errno.EMFILE, errno.ENFILE, *NO_MEMORY_ERRNOS)  # of socket()
 
 
 class Refused(Exception):
-    """The connection never came up: nothing was sent on it.
+    """No connection was established, so nothing was sent on it.
 
-    `scarce`: no descriptor was left for it. `broken`: it broke before it could be used.
+    `exhausted`: a local resource (descriptor, port, memory) was exhausted. `broken`: the peer reset the
+    connection before it could be used.
     """
 
-    def __init__(self, text: str, scarce: bool = False, broken: bool = False) -> None:
+    def __init__(self, text: str, exhausted: bool = False, broken: bool = False) -> None:
         super().__init__(text)
-        self.scarce, self.broken = scarce, broken
+        self.exhausted, self.broken = exhausted, broken
 
 
 def connect(
-    hub: Hub, address: tuple[str, int], until: float, ring: int = RING, source: str | None = None
+    hub: Hub,
+    address: tuple[str, int],
+    until: float,
+    ring: int = DEFAULT_BUFFER_SIZE,
+    source: str | None = None,
 ) -> Connection:
-    """A new connection, from the host `source` where it is given; Refused where none came up in time."""
+    """Opens a connection, from the local host `source` if given. Raises Refused on failure or time-out."""
     try:
         sock = socket.socket(family_of(address[0]), socket.SOCK_STREAM)
     except OSError as why:
-        raise Refused(str(why), scarce=why.errno in NO_SOCKET) from None
+        raise Refused(str(why), exhausted=why.errno in NO_DESCRIPTOR_ERRNOS) from None
     conn = Connection(hub, sock, ring)
-    conn.dry = True  # who is called speaks after we have
+    conn.wait_before_read = True  # the server speaks second, so do not read before polling
     try:
         if source is not None:
             try:
                 sock.bind((source, 0))
             except OSError as why:
-                raise Refused(str(why), scarce=why.errno == errno.EADDRINUSE) from None
+                raise Refused(str(why), exhausted=why.errno == errno.EADDRINUSE) from None
         code = sock.connect_ex(address)
-        if code in (errno.EINPROGRESS, errno.EINTR):  # interrupted, it comes up all the same
-            hub.wait_fd(conn.fd, WRITE, left(until))
+        if code in (errno.EINPROGRESS, errno.EINTR):  # an interrupted connect proceeds in the background
+            hub.wait_fd(conn.fd, WRITE, time_left(until))
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             raise Refused(
-                errno.errorcode.get(code, str(code)), scarce=code in SCARCE, broken=code == errno.ECONNRESET
+                errno.errorcode.get(code, str(code)),
+                exhausted=code in EXHAUSTION_ERRNOS,
+                broken=code == errno.ECONNRESET,
             )
     except (TimedOut, Closed):
         conn.close()
--- a/aspenrill/net/eventlog.py
+++ b/aspenrill/net/eventlog.py
@@ -1,6 +1,6 @@
 """Structured log lines on requests, attempts, connections and clocks: `name key=value ...`.
 
-Their number is bounded, so that a flood costs little and hides nothing else.
+Lines are rate-limited by event name, so that a frequent event costs little and hides no others.
 """
 
 from __future__ import annotations
@@ -8,23 +8,23 @@
 import time
 from collections.abc import Callable
 
-MOST_PER_SECOND = 20  # lines of one name; what is beyond is counted, and told with the next line of that name
+MAX_PER_SECOND = 20  # lines of one name; the next line after that tells how many were suppressed
 
 
 class EventLog:
-    """Writes events through `write`. A flood of one name hides no other, and its cost is bounded."""
+    """Formats events and passes them to `write`, rate-limited by event name."""
 
     def __init__(
         self,
         write: Callable[[str], None],
         clock: Callable[[], float] = time.monotonic,
-        most: int = MOST_PER_SECOND,
+        max_per_second: int = MAX_PER_SECOND,
     ) -> None:
-        self._write, self._clock, self._most = write, clock, most
+        self._write, self._clock, self._max_per_second = write, clock, max_per_second
         self._windows: dict[str, _Window] = {}
 
     def event(self, name: str, **fields: object) -> None:
-        """One line, unless too many of this name came within a second. Floats are seconds."""
+        """Writes one line unless the rate limit of this name is reached. Floats get 3 decimals."""
         window = self._windows.get(name)
         if window is None:
             window = self._windows[name] = _Window()
@@ -32,25 +32,25 @@
         if now >= window.ends_at:
             window.ends_at = now + 1.0
             window.written = 0
-        if window.written >= self._most:
+        if window.written >= self._max_per_second:
             window.suppressed += 1
             return
         window.written += 1
         if window.suppressed:
             fields["suppressed"] = window.suppressed
             window.suppressed = 0
-        self._tell(name, fields)
+        self._write_line(name, fields)
 
     def always(self, name: str, **fields: object) -> None:
-        """One line, whatever else came: for what is bounded by itself and must not be missed."""
-        self._tell(name, fields)
+        """Writes one line regardless of the rate limit, for rare events that must not be lost."""
+        self._write_line(name, fields)
 
-    def _tell(self, name: str, fields: dict[str, object]) -> None:
+    def _write_line(self, name: str, fields: dict[str, object]) -> None:
         self._write(" ".join([name, *(f"{key}={_text(value)}" for key, value in fields.items())]))
 
 
 class _Window:
-    """What was written of one name in the present second."""
+    """Counts the lines of one name in the current second."""
 
     __slots__ = ("ends_at", "written", "suppressed")
 
@@ -59,6 +59,6 @@
 
 
 def _text(value: object) -> str:
-    """One word, in quotes where it has spaces."""
+    """Formats a value, in quotes if it is empty or contains spaces."""
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     return f'"{text}"' if " " in text or not text else text
--- a/aspenrill/net/eviction.py
+++ b/aspenrill/net/eviction.py
@@ -1,4 +1,4 @@
-"""Which connection of a listener is missed least, where another needs its place. No I/O."""
+"""Chooses the connection to evict when a listener runs out of slots. Does no I/O beyond a peek."""
 
 from __future__ import annotations
 
@@ -7,47 +7,52 @@
 
 from .conn import Connection
 
-MUTE_FOR = 0.1  # seconds after which a connection that has said nothing may have to go
-REST_FOR = 4.5  # seconds of silence that usual clients don't reach: they close their connections sooner
-STUCK_FOR = 10.0  # seconds for which an answer was not taken by its client
+SILENT_AFTER = 0.1  # seconds after which a new connection without a message ranks below fresh ones
+IDLE_LONG_AFTER = 4.5  # seconds; well-behaved clients close an idle connection sooner than that
+BLOCKED_AFTER = 10.0  # seconds of a blocked write after which the connection may be evicted
 
 
-class Standing(IntEnum):
-    """How likely a request comes on it, the least likely first."""
+class EvictionRank(IntEnum):
+    """How likely a request is to arrive on an idle connection, the least likely first."""
 
-    RESTED = 0  # silent for longer than usual clients stay
-    MUTE = 1  # has said nothing yet
-    NEW = 2
-    ASKED_NOTHING = 3  # has spoken, but never sent a request
-    QUIET = 4
-    UNFINISHED = 5  # half a message has come
+    IDLE_LONG = 0  # idle for longer than well-behaved clients stay
+    SILENT = 1  # no message received yet
+    NEW = 2  # no message received yet, but accepted just now
+    NO_REQUESTS = 3  # messages received, but no request
+    IDLE = 4  # has carried requests
+    PARTIAL_MESSAGE = 5  # a message has been received in part
 
 
-def standing(conn: Connection, now: float) -> Standing:
-    """Of a connection with nothing open on it."""
-    silent = now - conn.used
-    if conn.begun and conn.spoke:
-        return Standing.UNFINISHED
-    if silent > REST_FOR:
-        return Standing.RESTED
+def eviction_rank(conn: Connection, now: float) -> EvictionRank:
+    """Returns the rank of a connection on which nothing is open."""
+    idle_s = now - conn.last_used_at
+    if conn.mid_message and conn.spoke:
+        return EvictionRank.PARTIAL_MESSAGE
+    if idle_s > IDLE_LONG_AFTER:
+        return EvictionRank.IDLE_LONG
     if conn.spoke:
-        return Standing.QUIET if conn.requests else Standing.ASKED_NOTHING
-    return Standing.MUTE if silent > MUTE_FOR else Standing.NEW
+        return EvictionRank.IDLE if conn.requests else EvictionRank.NO_REQUESTS
+    return EvictionRank.SILENT if idle_s > SILENT_AFTER else EvictionRank.NEW
 
 
-def least_missed(connections: Iterable[Connection], now: float) -> Connection | None:
-    """Of those with nothing open and nothing unread; None where each may carry a request."""
-    best, best_rank = None, (Standing.UNFINISHED + 1, 0.0)
+def eviction_candidate(connections: Iterable[Connection], now: float) -> Connection | None:
+    """Returns the connection least likely to carry a request, None if each may carry one.
+
+    Only connections with no open request and no unread data are considered.
+    """
+    best, best_rank = None, (EvictionRank.PARTIAL_MESSAGE + 1, 0.0)
     for conn in connections:
-        if conn.shut or conn.busy or len(conn.incoming) and not conn.begun:
+        if conn.write_shut or conn.busy or len(conn.incoming) and not conn.mid_message:
             continue
-        rank = standing(conn, now), conn.used - now
-        if rank < best_rank and conn.ended() is not None:  # else a message lies there
+        rank = eviction_rank(conn, now), conn.last_used_at - now
+        if rank < best_rank and conn.peer_closed() is not None:  # None: there is unread data
             best, best_rank = conn, rank
     return best
 
 
-def longest_stuck(connections: Iterable[Connection], now: float) -> Connection | None:
-    """The one whose client has not taken an answer for the longest time; None where none is stuck."""
-    stuck = [conn for conn in connections if conn.writing_since and now - conn.writing_since >= STUCK_FOR]
-    return min(stuck, key=lambda conn: conn.writing_since, default=None)
+def longest_blocked(connections: Iterable[Connection], now: float) -> Connection | None:
+    """Returns the connection whose write has been blocked longest, None if none exceeds BLOCKED_AFTER."""
+    blocked = [
+        conn for conn in connections if conn.write_started_at and now - conn.write_started_at >= BLOCKED_AFTER
+    ]
+    return min(blocked, key=lambda conn: conn.write_started_at, default=None)
--- a/aspenrill/net/heldbytes.py
+++ b/aspenrill/net/heldbytes.py
@@ -1,7 +1,7 @@
-"""A bound on the bytes of messages that have not come whole, over all connections of a front.
+"""Bounds the buffered bytes of incomplete messages, over all connections of a front.
 
-No clock ends a message that comes slowly. Memory is bounded by need: where too much is held, the connection
-whose last byte came longest ago is read no more.
+Slow messages are not timed out. Memory is bounded instead: if the total exceeds the limit, the connection
+that has been silent longest is no longer read.
 """
 
 from __future__ import annotations
@@ -9,35 +9,35 @@
 from typing import Protocol
 
 
-class Holder(Protocol):
-    """A connection, as far as it matters here."""
+class PartialReader(Protocol):
+    """The part of a connection that PartialMessageBytes uses."""
 
     busy: int
 
     def stop_reading(self, reason: str) -> None:
-        """Its reader gets Closed with this reason."""
+        """Makes the task that reads the connection get Closed with this reason."""
 
 
-class HeldBytes:
-    """Counts them by connection, those that were heard of longest ago first."""
+class PartialMessageBytes:
+    """Counts the buffered bytes of each connection, least recently updated first."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.total = most, 0
-        self._held: dict[Holder, int] = {}
+    def __init__(self, max_total: int) -> None:
+        self.max_total, self.total = max_total, 0
+        self._held: dict[PartialReader, int] = {}
 
-    def hold(self, holder: Holder, count: int) -> None:
-        """This connection holds so many bytes now."""
+    def set_held(self, holder: PartialReader, count: int) -> None:
+        """Sets the bytes buffered for a connection; stops reading others if the total exceeds the limit."""
         self.total += count - self._held.pop(holder, 0)
         self._held[holder] = count
-        while self.total > self.most:
+        while self.total > self.max_total:
             longest = self._longest_silent()
             self.release(longest)
             longest.stop_reading("too many bytes of unfinished messages")
 
-    def release(self, holder: Holder) -> None:
-        """Its message is whole, or it has ended."""
+    def release(self, holder: PartialReader) -> None:
+        """Removes a connection whose message is complete or which has ended."""
         self.total -= self._held.pop(holder, 0)
 
-    def _longest_silent(self) -> Holder:
-        """Of those with nothing open, if there are such: the others' answers want their connection."""
+    def _longest_silent(self) -> PartialReader:
+        """Prefers connections without open requests: the others are needed for their answers."""
         return next((holder for holder in self._held if not holder.busy), next(iter(self._held)))
--- a/aspenrill/net/hub.py
+++ b/aspenrill/net/hub.py
@@ -1,7 +1,7 @@
-"""The scheduler: tasks run on greenlets, and one loop over select.poll wakes them.
+"""The event loop: tasks run on greenlets, and one loop over select.poll wakes them.
 
-A task waits in `park` only, each wait with a timer of its own. A wake-up names the wait it is for, so that
-one that comes late wakes nothing else.
+A task blocks only in `park`, each wait with a timer of its own. A wake-up names the wait it is for, so that a
+late one cannot end a later wait of the same task.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 from .timers import Timers
 
 READ, WRITE = select.POLLIN, select.POLLOUT
-BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
-SLICE = 256  # turns of tasks between two looks at descriptors and timers
-BEAT = 0.02  # seconds between two looks at how far behind the program is
-STALLED = 0.2  # seconds by which a task woke late that are told in the log: stopped, or without a core
-SPARE = 256  # workers kept without a task
-LATE = object()  # what a wait's timer brings
-OVERSLEPT = 0.005  # seconds by which a look may last longer than asked
-POLL_PAUSE = 0.005  # seconds after a look at descriptors for which the system had no memory
+ERROR_EVENTS = select.POLLERR | select.POLLHUP | select.POLLNVAL
+MAX_SWITCHES_PER_ROUND = 256  # task switches between two polls of descriptors and timers
+BEAT = 0.02  # seconds between two measurements of the event loop lag
+STALL_THRESHOLD = 0.2  # seconds of event loop lag that are logged: the process was stopped or had no CPU
+MAX_IDLE_WORKERS = 256  # idle workers kept for reuse
+TIMER_EXPIRED = object()  # wake-up value of an expired timer
+POLL_OVERRUN = 0.005  # seconds by which a poll may exceed its time-out before the process counts as stopped
+POLL_RETRY_DELAY = 0.005  # seconds to wait after a poll that failed for lack of memory
 
 
 class TimedOut(Exception):
-    """A wait ended without what it waited for."""
+    """A wait reached its time-out."""
 
 
 class Closed(Exception):
-    """The connection is over, by the other side's doing or our own."""
+    """The connection has ended, closed by either side."""
 
 
 class Task:
-    """One line of work. `interrupt` ends its present or next wait with an exception."""
+    """A unit of concurrent work, run by a worker. `interrupt` ends its current or next wait."""
 
     __slots__ = ("hub", "name", "work", "args", "worker", "pending", "dead", "__weakref__")
 
@@ -50,7 +50,7 @@
         self.dead = False
 
     def interrupt(self, error: BaseException) -> None:
-        """Raise `error` where the task waits, or where it waits next."""
+        """Raises `error` in the task where it waits, or at its next wait."""
         if self.dead:
             return
         if self.worker.wait:
@@ -60,24 +60,24 @@
 
 
 class Worker(greenlet):
-    """Carries out tasks, one after another: a new stack for each would cost more than most tasks do."""
+    """A greenlet that runs tasks one after another: a new stack for each would cost more than most tasks."""
 
     def __init__(self, hub: Hub) -> None:
         super().__init__(self._run, hub.loop)
         self.hub = hub
-        self.wait = 0  # number of the present wait; 0 while it runs
+        self.wait = 0  # id of the current wait; 0 while it runs
         self.task: Task | None = None
 
     def _run(self, _: Any) -> None:
         while self.task is not None:
-            self._carry_out(self.task)
+            self._run_task(self.task)
             self.task = None
-            if len(self.hub.spare) >= SPARE:
+            if len(self.hub.idle_workers) >= MAX_IDLE_WORKERS:
                 return
-            self.hub.spare.append(self)
+            self.hub.idle_workers.append(self)
             self.hub.loop.switch()
 
-    def _carry_out(self, task: Task) -> None:
+    def _run_task(self, task: Task) -> None:
         try:
             task.work(*task.args)
         except Exception:
@@ -87,7 +87,7 @@
 
 
 class Hub:
-    """Runs tasks until `stop`; `monotonic` seconds for every wait."""
+    """The event loop. Runs tasks until `stop`; all times are seconds of the monotonic clock."""
 
     def __init__(self, log: Callable[[str], None] | None = None) -> None:
         self.timers = Timers(time.monotonic)
@@ -95,39 +95,41 @@
         self.events = EventLog(lambda text: self.log(text))
         self.loop = getcurrent()
         self._poll = select.poll()
-        self._waits: dict[int, dict[int, tuple[Worker, int]]] = {READ: {}, WRITE: {}}  # by descriptor
-        self._masks: dict[int, int] = {}  # what of each descriptor is registered
+        self._waits: dict[int, dict[int, tuple[Worker, int]]] = {READ: {}, WRITE: {}}  # by event, descriptor
+        self._masks: dict[int, int] = {}  # events registered with poll, by descriptor
         self._ready: deque[tuple[Worker, Any]] = deque()
-        self._later: list[tuple[Worker, Any]] = []  # ready again behind the next look at descriptors
-        self._soon: list[Callable[[], None]] = []  # called before the next look at descriptors
-        self._idle: dict[int, tuple[Callable[..., None], tuple[Any, ...]]] = {}  # descriptors nobody reads
-        self.spare: list[Worker] = []  # without a task
-        self._number = 0
+        self._yielded: list[tuple[Worker, Any]] = []  # tasks that yielded: ready again after the next poll
+        self._before_poll: list[Callable[[], None]] = []  # called before the next poll
+        self._idle_watches: dict[
+            int, tuple[Callable[..., None], tuple[Any, ...]]
+        ] = {}  # callbacks, by descriptor
+        self.idle_workers: list[Worker] = []
+        self._last_wait = 0
         self._running = False
-        self._looked_at = self.news_since = time.monotonic()  # see `_date_news`
-        self._lag, self._beat_due = 0.0, time.monotonic() + BEAT
-        self.spawn(self.beat, name="beat")
+        self._polled_at = self.arrivals_after = time.monotonic()  # see `_update_arrivals_after`
+        self._lag, self._lag_check_due = 0.0, time.monotonic() + BEAT
+        self.spawn(self._measure_lag, name="event loop lag")
 
     def report(self, what: str, detail: str = "") -> None:
-        """An error for the people on call: never lost, never fatal."""
+        """Logs an unexpected error for the operators; the program continues."""
         self.log(f"error: {what}" + (f"\n{detail.rstrip()}" if detail else ""))
 
     def spawn(self, work: Callable[..., Any], *args: Any, name: str = "") -> Task:
-        """A new task, started in the next round."""
+        """Creates a task, which starts in the next round."""
         task = Task(self, name or work.__qualname__, work, args)
-        task.worker = worker = self.spare.pop() if self.spare else Worker(self)
+        task.worker = worker = self.idle_workers.pop() if self.idle_workers else Worker(self)
         worker.task = task
         self._ready.append((worker, None))
         return task
 
-    def soon(self, call: Callable[[], None]) -> None:
-        """Call once what is ready has run, before the next look at descriptors; it must not wait."""
-        self._soon.append(call)
+    def call_before_poll(self, call: Callable[[], None]) -> None:
+        """Schedules a call after the ready tasks have run and before the next poll; it must not block."""
+        self._before_poll.append(call)
 
     # ---- waits ----------------------------------------------------------------------------------------
 
     def begin_wait(self) -> int:
-        """The number of the wait that the running task is about to begin."""
+        """Returns the id of the wait that the running task is about to begin; raises a pending interrupt."""
         worker = getcurrent()
         task = worker.task
         if task.pending is not None:
@@ -135,33 +137,33 @@
             try:
                 raise error
             finally:
-                del error  # its traceback holds this frame: together they would stay until a collection
-        self._number += 1
-        worker.wait = self._number
-        return self._number
+                del error  # its traceback references this frame: a cycle until the next garbage collection
+        self._last_wait += 1
+        worker.wait = self._last_wait
+        return self._last_wait
 
     def park(self, timeout: float | None) -> Any:
-        """Wait until woken; what the wake-up brought, or TimedOut."""
+        """Blocks the task until it is woken; returns the wake-up value or raises it. Raises TimedOut."""
         if timeout is None:
             value = self.loop.switch()
         else:
             worker = getcurrent()
-            timer = self.timers.after(timeout, self.wake, worker, worker.wait, LATE)
+            timer = self.timers.after(timeout, self.wake, worker, worker.wait, TIMER_EXPIRED)
             value = self.loop.switch()
             timer.cancel()
         if value is None:
             return None
-        if value is LATE:
+        if value is TIMER_EXPIRED:
             raise TimedOut
         if isinstance(value, BaseException):
             try:
                 raise value
             finally:
-                del value  # as above: with them would stay the connection, and all that its tasks hold
+                del value  # as above: the cycle would keep the connection and its tasks alive
         return value
 
     def wake(self, worker: Worker, wait: int, value: Any = None) -> bool:
-        """End that wait, unless it is over already; whether it was this that ended it."""
+        """Ends the given wait if it is still current; returns whether it was."""
         if worker.wait != wait:
             return False
         worker.wait = 0
@@ -169,7 +171,7 @@
         return True
 
     def sleep(self, seconds: float) -> None:
-        """Wait for that long."""
+        """Blocks the task for `seconds`."""
         self.begin_wait()
         try:
             self.park(seconds)
@@ -177,13 +179,13 @@
             pass
 
     def give_way(self) -> None:
-        """Go on behind all that is ready, and behind the next look at descriptors and timers."""
+        """Yields to all ready tasks and to the next poll of descriptors and timers."""
         wait, worker = self.begin_wait(), getcurrent()
-        self._later.append((worker, wait))
+        self._yielded.append((worker, wait))
         self.park(None)
 
     def wait_fd(self, fd: int, mask: int, timeout: float | None) -> None:
-        """Wait until the descriptor can be read (READ) or written (WRITE), or is broken."""
+        """Blocks until the descriptor is readable (READ) or writable (WRITE), or has an error."""
         waits = self._waits[mask]
         if fd in waits:
             raise RuntimeError(f"two tasks wait for descriptor {fd}")
@@ -195,131 +197,133 @@
         try:
             self.park(timeout)
         finally:
-            if waits.get(fd) is mine:  # not another's, who has the same number by now
+            if waits.get(fd) is mine:  # not the entry of a later user of the same descriptor number
                 del waits[fd]
 
-    def watch(self, fd: int, call: Callable[..., None], *args: Any) -> None:
-        """Call once the descriptor, which nobody reads, has news: an end, or what nobody asked for."""
-        self._idle[fd] = call, args
+    def watch_idle(self, fd: int, call: Callable[..., None], *args: Any) -> None:
+        """Calls `call` once when an idle descriptor becomes readable: end of stream, or unexpected data."""
+        self._idle_watches[fd] = call, args
         if not self._masks.get(fd, 0) & READ:
             self._masks[fd] = self._masks.get(fd, 0) | READ
             self._poll.register(fd, self._masks[fd])
 
-    def unidle(self, fd: int) -> None:
-        """Somebody reads it again."""
-        self._idle.pop(fd, None)
+    def unwatch_idle(self, fd: int) -> None:
+        """Cancels `watch_idle`: the descriptor is in use again."""
+        self._idle_watches.pop(fd, None)
 
-    def unwatch(self, fd: int) -> None:
-        """Nobody will wait for it for a while."""
+    def unregister_fd(self, fd: int) -> None:
+        """Unregisters the descriptor from poll until the next wait for it."""
         if self._masks.pop(fd, 0):
             self._poll.unregister(fd)
 
     def end_wait(self, fd: int, mask: int, error: BaseException) -> None:
-        """Whoever waits to read it (READ), or to write it (WRITE), gets the error; the descriptor stays."""
+        """Raises the error in the task that waits for READ or WRITE; the descriptor stays registered."""
         waiter = self._waits[mask].pop(fd, None)
         if waiter is not None:
             self.wake(*waiter, error)
 
     def forget_fd(self, fd: int) -> None:
-        """The descriptor is about to be closed: whoever waits for it gets Closed."""
-        self._idle.pop(fd, None)
-        self.unwatch(fd)
+        """Removes a descriptor that is about to be closed; tasks that wait for it get Closed."""
+        self._idle_watches.pop(fd, None)
+        self.unregister_fd(fd)
         for waits in self._waits.values():
             if fd in waits:
                 self.wake(*waits.pop(fd), Closed("closed here"))
 
-    # ---- falling behind -------------------------------------------------------------------------------
+    # ---- event loop lag -------------------------------------------------------------------------------
 
-    def beat(self) -> None:
-        """A task's work: notice how late it is woken, by which `lag` tells how far behind this program is."""
+    def _measure_lag(self) -> None:
+        """Task body: measures how late it is woken, which `lag` reports."""
         while True:
-            self._beat_due = time.monotonic() + BEAT
+            self._lag_check_due = time.monotonic() + BEAT
             self.sleep(BEAT)
-            self._lag = max(0.0, time.monotonic() - self._beat_due)
-            if self._lag >= STALLED:
+            self._lag = max(0.0, time.monotonic() - self._lag_check_due)
+            if self._lag >= STALL_THRESHOLD:
                 self.events.event("program_stalled", seconds=self._lag)
 
     def lag(self) -> float:
-        """Seconds that what is ready has to wait here, as seen last, or more if that is overdue by now."""
-        return max(self._lag, time.monotonic() - self._beat_due)
+        """Returns the event loop lag in seconds: the last measurement, or more if the next one is overdue."""
+        return max(self._lag, time.monotonic() - self._lag_check_due)
 
     # ---- the loop -------------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Run tasks until `stop`."""
+        """Runs tasks until `stop`."""
         self.loop, self._running = getcurrent(), True
         while self._running:
             self.round()
 
     def stop(self) -> None:
-        """End `run` after this round."""
+        """Makes `run` return after the current round."""
         self._running = False
 
     def round(self) -> None:
-        """Run what is ready, then look for descriptors and timers."""
-        ready, loop, turns = self._ready, self.loop, SLICE
+        """Runs ready tasks, then polls descriptors and timers."""
+        ready, loop, turns = self._ready, self.loop, MAX_SWITCHES_PER_ROUND
         while ready and turns:
             turns -= 1
             worker, value = ready.popleft()
             worker.parent = loop
             worker.switch(value)
-        if self._soon:
-            self._call_soon()
+        if self._before_poll:
+            self._run_before_poll()
         if not self._running:
             return
         timeout, began = 0.0, time.monotonic()
-        if not ready and not self._later:
+        if not ready and not self._yielded:
             due = self.timers.next_due()
             timeout = None if due is None else max(0.0, due - began) * 1000
-        for fd, got in self._look(began, timeout):
-            self._happened(fd, got)
+        for fd, got in self._poll_once(began, timeout):
+            self._dispatch(fd, got)
         self.timers.run_due()
-        if self._later:
-            later, self._later = self._later, []
+        if self._yielded:
+            later, self._yielded = self._yielded, []
             for task, wait in later:
                 self.wake(task, wait)
 
-    def _date_news(self, began: float, timeout: float | None) -> None:
-        """`news_since`: no earlier than this came what the look that began then has found, and the one before
-        it had not. That is now, less what tasks took between the looks; behind a look that took longer than
-        it was to, the program was stopped meanwhile, and bytes may have come all that time."""
-        now, before = time.monotonic(), self._looked_at
-        stopped = timeout is None or now - began > timeout / 1000 + OVERSLEPT
-        self.news_since = before if stopped else now - (began - before)
-        self._looked_at = now
-
-    def _look(self, began: float, timeout: float | None) -> list[tuple[int, int]]:
-        """What has happened; nothing where the system has no memory for the wait (ENOMEM): that passes, and
-        was no look."""
+    def _update_arrivals_after(self, began: float, timeout: float | None) -> None:
+        """Sets `arrivals_after`: what the poll that began at `began` found cannot have arrived before that.
+
+        Usually that is now minus the time that tasks took between this poll and the previous one. If the poll
+        took longer than its time-out, the process was stopped meanwhile, and data may have arrived during all
+        of that time.
+        """
+        now, before = time.monotonic(), self._polled_at
+        stopped = timeout is None or now - began > timeout / 1000 + POLL_OVERRUN
+        self.arrivals_after = before if stopped else now - (began - before)
+        self._polled_at = now
+
+    def _poll_once(self, began: float, timeout: float | None) -> list[tuple[int, int]]:
+        """Polls descriptors; returns nothing after a transient failure (ENOMEM), which counts as no poll."""
         try:
             happened = self._poll.poll(timeout)
         except OSError as why:
             self.events.event("poll_failed", reason=why.strerror)
-            time.sleep(POLL_PAUSE)
+            time.sleep(POLL_RETRY_DELAY)
             return []
-        self._date_news(began, timeout)
+        self._update_arrivals_after(began, timeout)
         return happened
 
-    def _call_soon(self) -> None:
-        calls, self._soon = self._soon, []
+    def _run_before_poll(self) -> None:
+        calls, self._before_poll = self._before_poll, []
         for call in calls:
             try:
                 call()
             except Exception:
-                self.report("a call before the next look", traceback.format_exc())
+                self.report("a call before the next poll", traceback.format_exc())
 
-    def _happened(self, fd: int, got: int) -> None:
-        """Wake who waits; a descriptor stays registered until it has news for nobody."""
-        if fd in self._idle:
-            call, args = self._idle.pop(fd)
+    def _dispatch(self, fd: int, got: int) -> None:
+        """Wakes the waiting tasks; unregisters a descriptor once an event finds nobody waiting."""
+        if fd in self._idle_watches:
+            call, args = self._idle_watches.pop(fd)
             try:
                 call(*args)
             except Exception:
-                self.report("news of a descriptor that nobody reads", traceback.format_exc())
+                self.report("the callback of an idle descriptor", traceback.format_exc())
             return
         idle = 0
         for mask, waits in self._waits.items():
-            if got & (mask | BROKEN):
+            if got & (mask | ERROR_EVENTS):
                 waiter = waits.pop(fd, None)
                 if waiter is not None:
                     self.wake(*waiter)
@@ -327,58 +331,58 @@
                     idle |= mask
         if idle and fd in self._masks:
             keep = self._masks[fd] & ~idle
-            if keep and not got & BROKEN:
+            if keep and not got & ERROR_EVENTS:
                 self._masks[fd] = keep
                 self._poll.register(fd, keep)
             elif not any(fd in waits for waits in self._waits.values()) or not keep:
-                self.unwatch(fd)
+                self.unregister_fd(fd)
 
 
 class Queue:
-    """First in, first out; `put` never waits, and one task gets."""
+    """Unbounded FIFO queue for one consumer task; `put` never blocks."""
 
     def __init__(self, hub: Hub) -> None:
         self.hub, self.items = hub, deque()
-        self._getter: tuple[Worker, int] | None = None
+        self._consumer: tuple[Worker, int] | None = None
 
     def put(self, item: Any) -> None:
-        """Add an item and wake the getter."""
+        """Adds an item and wakes the consumer."""
         self.items.append(item)
-        if self._getter is not None:
-            getter, self._getter = self._getter, None
-            self.hub.wake(*getter)
+        if self._consumer is not None:
+            consumer, self._consumer = self._consumer, None
+            self.hub.wake(*consumer)
 
     def get(self, timeout: float | None = None) -> Any:
-        """The oldest item; TimedOut if none comes in time."""
+        """Returns the oldest item, waiting for one. Raises TimedOut."""
         while not self.items:
             wait = self.hub.begin_wait()
-            self._getter = (getcurrent(), wait)
+            self._consumer = (getcurrent(), wait)
             try:
                 self.hub.park(timeout)
             finally:
-                self._getter = None
+                self._consumer = None
         return self.items.popleft()
 
 
 class Signal:
-    """Wakes all that wait when it is set."""
+    """Wakes all waiting tasks when it is set."""
 
     def __init__(self, hub: Hub) -> None:
         self.hub = hub
         self._waiters: list[tuple[Worker, int]] = []
 
     def wait(self, timeout: float | None) -> None:
-        """Until the next `set`; TimedOut if it does not come in time."""
+        """Blocks until the next `set`. Raises TimedOut."""
         mine = getcurrent(), self.hub.begin_wait()
         self._waiters.append(mine)
         try:
             self.hub.park(timeout)
         finally:
-            if mine in self._waiters:  # nothing set it
+            if mine in self._waiters:  # not woken by `set`
                 self._waiters.remove(mine)
 
     def set(self) -> None:
-        """Wake them."""
+        """Wakes all waiting tasks."""
         waiters, self._waiters = self._waiters, []
         for task, wait in waiters:
             self.hub.wake(task, wait)
--- a/aspenrill/net/inbox.py
+++ b/aspenrill/net/inbox.py
@@ -1,8 +1,9 @@
-"""What has come on a connection and is not taken yet.
+"""The receive buffer of a connection.
 
-A message that came whole in one read is taken from the bytes of that read and passes no ring. What did not
-come whole moves on into the ring, bounded as ever, and is filled up there. Never are both in use: bytes are
-read only where nothing is held, and the ring only once what was held has moved.
+A message that arrives in one read is parsed from the bytes of that read, without a copy. An incomplete
+message is moved into a ring buffer of bounded size and completed there. The two are never in use together:
+plain reads happen only while nothing is buffered, and the ring is used only after the rest of the last read
+was moved to it.
 """
 
 from __future__ import annotations
@@ -11,61 +12,61 @@
 
 
 class Inbox:
-    """Bytes in the order in which they came; at most what the ring holds."""
+    """Received bytes in order, at most `capacity` of them."""
 
     __slots__ = ("ring", "data", "at", "capacity")
 
     def __init__(self, capacity: int) -> None:
         self.ring, self.capacity = Ring(capacity), capacity
-        self.data, self.at = b"", 0  # the last read, and how much of it is taken
+        self.data, self.at = b"", 0  # the last read and the number of bytes consumed from it
 
     def __len__(self) -> int:
         return len(self.data) - self.at + len(self.ring)
 
     @property
     def free(self) -> int:
-        """How many bytes still fit."""
+        """The number of bytes that still fit."""
         return self.capacity - len(self)
 
-    def took(self, data: bytes) -> None:
-        """A read, while nothing was held."""
+    def store(self, data: bytes) -> None:
+        """Stores the result of a read while the buffer is empty."""
         self.data, self.at = data, 0
 
     def space(self) -> memoryview:
-        """Where to read on into; what was held has moved into the ring."""
+        """Returns free space to read into, after moving buffered data into the ring."""
         if self.data:
             self.ring.push(memoryview(self.data)[self.at :])
             self.data, self.at = b"", 0
         return self.ring.space()
 
-    def added(self, count: int) -> None:
-        """So many bytes of `space` now hold data."""
-        self.ring.added(count)
+    def commit(self, count: int) -> None:
+        """Marks `count` bytes of `space` as filled."""
+        self.ring.commit(count)
 
-    def rest(self) -> None:
-        """Give the ring's buffer back if nothing is held there."""
-        self.ring.rest()
+    def release_buffer(self) -> None:
+        """Returns the ring's memory to the free list if the ring is empty."""
+        self.ring.release_buffer()
 
     def clear(self) -> None:
-        """Drop all."""
+        """Drops all data."""
         self.data, self.at = b"", 0
         self.ring.clear()
 
     def find(self, mark: bytes, start: int = 0) -> int:
-        """Where the mark lies among what is held, from `start` on; -1 where it does not."""
+        """Returns the position of the delimiter at or after `start`, -1 if it is absent."""
         if self.data:
             found = self.data.find(mark, self.at + start)
             return found - self.at if found >= 0 else -1
         return self.ring.peek(len(self.ring)).find(mark, start) if len(self.ring) else -1
 
     def peek(self, count: int) -> bytes:
-        """The oldest bytes, which stay."""
+        """Returns up to `count` of the oldest bytes without consuming them."""
         if self.data:
             return self.data[self.at : self.at + count]
         return self.ring.peek(count)
 
     def drop(self, count: int) -> None:
-        """The oldest bytes are done with."""
+        """Discards the oldest `count` bytes."""
         if not self.data:
             self.ring.drop(count)
             return
@@ -76,7 +77,7 @@
             self.data, self.at = b"", 0
 
     def pull(self, count: int) -> bytes:
-        """The oldest bytes, which go."""
+        """Returns and consumes up to `count` of the oldest bytes."""
         if not self.data:
             return self.ring.pull(count)
         taken = self.data[self.at : self.at + count]
--- a/aspenrill/net/listener.py
+++ b/aspenrill/net/listener.py
@@ -1,9 +1,10 @@
-"""A listening socket: one task a connection, never more than its share of descriptors.
+"""A listening socket with one task per connection and a limit on the number of connections.
 
-Nothing is ended by a clock. Where its share is nearly used up, the connection that is missed least is ended
-(`eviction`). What is open on a connection keeps it, but for one whose client takes no answer. They end in
-order, each by its own task, and hold their descriptors meanwhile: a part of the share is kept for these, so
-that a new connection finds room at once. Those that clients never close are cut short where it does not.
+There are no idle time-outs. When the limit is nearly reached, the connection least likely to be needed is
+evicted (see `eviction`). A connection with open requests is never evicted, except one whose client does not
+read its answer. Evicted connections are closed in order by their own tasks and hold their descriptors until
+then, so some slots are reserved for them and a new connection is accepted at once. If no slot is left, those
+that their clients do not close are closed early.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 
 from .address import family_of
 from .conn import Connection
-from .eviction import least_missed, longest_stuck
+from .eviction import eviction_candidate, longest_blocked
 from .hub import READ, Closed, Hub, Signal, TimedOut
 
 BACKLOG = 512
-FAILED_FULL = 3  # tries in a row that failed, from which no descriptor is held to be left
-MOST_ACCEPTED = 2 * BACKLOG  # tries to empty the backlog before others have their turn
-BREATH = 0.05  # seconds until a listener that had no descriptor left tries again
-AT_ONCE = 16  # connections accepted before others have their turn
-LINGER_FOR = 1.0  # seconds that the other side has to end a connection which we have ended
-LEAST_LINGER = 0.1  # of them, where another connection needs the place: a request may cross the end for 0.05
-NEXT_ONE = (
+FAILURES_BEFORE_EVICTION = 3  # consecutive failures of accept after which descriptors count as exhausted
+MAX_BACKLOG_ACCEPTS = 2 * BACKLOG  # accepts when emptying the backlog, before other tasks run
+RETRY_DELAY = 0.05  # seconds until accept is retried after a failure
+ACCEPT_BATCH = 16  # connections accepted before other tasks run
+LINGER_TIMEOUT = 1.0  # seconds that the peer has to close a connection which this side has closed
+MIN_LINGER = 0.1  # seconds of it even if the slot is needed: a request may be in flight for 0.05
+PENDING_CONNECTION_ERRNOS = (
     errno.ECONNABORTED,
     errno.EINTR,
     errno.EPROTO,
@@ -39,17 +40,22 @@
     errno.ENETUNREACH,
     errno.EPERM,
 )
-# what befell one connection that waited: accept(2) wants these treated as if there had been none
-ENDING_SHARE = 8  # one place in so many is for those that end: clients want a third of all, by the protocol
+# errors of one pending connection, on which accept(2) says to try again
+CLOSING_SLOTS_DIVISOR = 8  # 1 in 8 slots is for closing connections; by the protocol clients need a third
 
 
 class Listener:
-    """Accepts connections and hands each to `serve`, in a task of its own that ends with it."""
+    """Accepts connections and runs `serve` for each in a task of its own."""
 
     def __init__(
-        self, hub: Hub, address: tuple[str, int], serve: Callable[[Connection], None], most: int, name: str
+        self,
+        hub: Hub,
+        address: tuple[str, int],
+        serve: Callable[[Connection], None],
+        max_connections: int,
+        name: str,
     ) -> None:
-        self.hub, self.serve, self.most, self.name = hub, serve, most, name
+        self.hub, self.serve, self.max_connections, self.name = hub, serve, max_connections, name
         self.sock = socket.socket(family_of(address[0]), socket.SOCK_STREAM)
         try:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -62,56 +68,58 @@
         self.address = self.sock.getsockname()[:2]
         self.connections: dict[Connection, None] = {}
         self.open, self.draining = True, False
-        self._one_left = Signal(hub)
+        self._connection_closed = Signal(hub)
         hub.spawn(self._accept, name=f"{name} listener")
 
     def close(self) -> None:
-        """No further connections; those that are open stay."""
+        """Closes the listening socket; open connections stay."""
         if self.open:
             self.open = False
             self.hub.forget_fd(self.sock.fileno())
-            with contextlib.suppress(OSError):  # the descriptor is free all the same
+            with contextlib.suppress(OSError):  # the descriptor is released all the same
                 self.sock.close()
 
     def stop_accepting(self) -> None:
-        """No further connections but those that the backlog holds; those that are open stay in use."""
-        if self.open and not self._empty_backlog():
+        """Accepts the connections in the backlog and then closes the socket; open connections stay in use."""
+        if self.open and not self._accept_backlog():
             self.hub.spawn(self._drain_backlog, name=f"{self.name} backlog")
 
     def drain(self) -> None:
-        """No further connections, and each ends in order once nothing is open on it and nothing lies unread:
-        `connections` is empty LINGER_FOR after the last answer at the latest."""
+        """Stops accepting and closes each connection in order as soon as nothing is open or unread on it.
+
+        `connections` is empty at most LINGER_TIMEOUT after the last answer.
+        """
         self.draining = True
         for conn in list(self.connections):
             conn.draining = True
-            conn.end_if_quiet()  # else its own task does, or who writes the last answer
+            conn.close_if_idle()  # otherwise its task or the writer of its last answer closes it
         self.stop_accepting()
 
     def close_all(self, reason: str) -> None:
-        """The end of the program: what is still open is closed, and the log tells of each what that cost."""
+        """Closes all connections at program exit and logs what each close lost."""
         for conn in list(self.connections):
-            conn.ended_here = conn.ended_here or not conn.over
+            conn.closed_locally = conn.closed_locally or not conn.over
             conn.end_reason = conn.end_reason or reason
-            self._forget(conn)
+            self._remove(conn)
 
-    def _empty_backlog(self) -> bool:
-        """Accept all that wait, and close; False where the system gives none just now."""
-        for _ in range(MOST_ACCEPTED):
+    def _accept_backlog(self) -> bool:
+        """Accepts the whole backlog and closes the socket; returns False if accept fails before that."""
+        for _ in range(MAX_BACKLOG_ACCEPTS):
             try:
-                self._take(*self.sock.accept())
+                self._add_connection(*self.sock.accept())
             except BlockingIOError:
                 self.close()
                 return True
             except OSError as why:
-                if why.errno not in NEXT_ONE:
+                if why.errno not in PENDING_CONNECTION_ERRNOS:
                     self._log_failure(why)
                     return False
         return False
 
     def _drain_backlog(self) -> None:
         while self.open:
-            self.hub.sleep(BREATH)
-            if self.open and self._empty_backlog():
+            self.hub.sleep(RETRY_DELAY)
+            if self.open and self._accept_backlog():
                 return
 
     def _log_failure(self, why: OSError) -> None:
@@ -129,82 +137,84 @@
                     return
                 continue
             except OSError as why:
-                if why.errno in NEXT_ONE:
+                if why.errno in PENDING_CONNECTION_ERRNOS:
                     self.hub.give_way()
                     continue
                 self._log_failure(why)
                 failed += 1
-                if why.errno in (errno.EMFILE, errno.ENFILE) and failed >= FAILED_FULL:
-                    self._make_room(full=True)
-                self.hub.sleep(BREATH)
+                if why.errno in (errno.EMFILE, errno.ENFILE) and failed >= FAILURES_BEFORE_EVICTION:
+                    self._evict(full=True)
+                self.hub.sleep(RETRY_DELAY)
                 continue
             failed = 0
-            if len(self.connections) >= self.most - self._ending_places():
-                self._make_room()
-            while self.open and len(self.connections) >= self.most:
-                self._wait()
-                self._make_room(full=True)
-            self._take(sock, peer)
+            if len(self.connections) >= self.max_connections - self._closing_slots():
+                self._evict()
+            while self.open and len(self.connections) >= self.max_connections:
+                self._wait_for_close()
+                self._evict(full=True)
+            self._add_connection(sock, peer)
             accepted += 1
-            if accepted % AT_ONCE == 0:
+            if accepted % ACCEPT_BATCH == 0:
                 self.hub.give_way()
 
-    def _ending_places(self) -> int:
-        return max(1, self.most // ENDING_SHARE)
+    def _closing_slots(self) -> int:
+        return max(1, self.max_connections // CLOSING_SLOTS_DIVISOR)
 
-    def _wait(self) -> None:
+    def _wait_for_close(self) -> None:
         try:
-            self._one_left.wait(BREATH)
+            self._connection_closed.wait(RETRY_DELAY)
         except TimedOut:
             pass
 
-    def _make_room(self, full: bool = False) -> None:
-        """End the connection that is missed least, unless enough of them end. `full`: nothing is left; the
-        one that has been ending longest is cut short, once it has had LEAST_LINGER, or one whose client has
-        taken no answer for long is closed."""
+    def _evict(self, full: bool = False) -> None:
+        """Evicts the connection least likely to be needed, unless enough connections are closing already.
+
+        `full`: no slot is left. Then the connection that has been closing longest is closed at once if it has
+        lingered for MIN_LINGER; failing that, one whose client has not read its answer for long.
+        """
         now = time.monotonic()
-        ending = [conn for conn in self.connections if conn.shut]
-        oldest = min(ending, key=lambda conn: conn.shut_at, default=None)
-        if full and oldest is not None and now - oldest.shut_at >= LEAST_LINGER:
+        ending = [conn for conn in self.connections if conn.write_shut]
+        oldest = min(ending, key=lambda conn: conn.write_shut_at, default=None)
+        if full and oldest is not None and now - oldest.write_shut_at >= MIN_LINGER:
             oldest.end_reason += ", cut short"
-            self._forget(oldest)
+            self._remove(oldest)
             return
-        found = least_missed(self.connections, now) if len(ending) < self._ending_places() else None
+        found = eviction_candidate(self.connections, now) if len(ending) < self._closing_slots() else None
         if found is not None:
             found.evicted = True
-            found.end("room for another")
-        elif full and not ending and (stuck := longest_stuck(self.connections, now)) is not None:
+            found.begin_close("room for another")
+        elif full and not ending and (stuck := longest_blocked(self.connections, now)) is not None:
             stuck.end_reason = "its client takes no answer, room for another"
-            stuck.ended_here = True
-            stuck.close()  # its own task tells the log what that cost
+            stuck.closed_locally = True
+            stuck.close()  # its own task logs what that lost
 
-    def _forget(self, conn: Connection) -> None:
+    def _remove(self, conn: Connection) -> None:
         if conn in self.connections:
             del self.connections[conn]
-            self._log_end(conn)
-            self._one_left.set()
+            self._log_close(conn)
+            self._connection_closed.set()
         conn.close()
 
-    def _log_end(self, conn: Connection) -> None:
-        """Each end that is not the ordinary one, the client's with nothing open; with what it cost."""
-        if not (conn.end_reason or conn.abandoned or conn.discarded):
+    def _log_close(self, conn: Connection) -> None:
+        """Logs a close and what it lost, unless the client closed with nothing open."""
+        if not (conn.end_reason or conn.unanswered or conn.discarded_bytes):
             return
-        costly = conn.ended_here and (conn.abandoned or conn.discarded)
-        tell = self.hub.events.always if costly else self.hub.events.event
+        lossy = conn.closed_locally and (conn.unanswered or conn.discarded_bytes)
+        log = self.hub.events.always if lossy else self.hub.events.event
         now = time.monotonic()
-        tell(
+        log(
             "connection_closed",
             front=self.name,
             peer=conn.peer,
-            by="front_end" if conn.ended_here else "client",
+            by="front_end" if conn.closed_locally else "client",
             reason=conn.end_reason,
-            age=now - conn.made_at,
-            idle=now - conn.used,
-            open=",".join(conn.abandoned),
-            discarded=conn.discarded,
+            age=now - conn.created_at,
+            idle=now - conn.last_used_at,
+            open=",".join(conn.unanswered),
+            discarded=conn.discarded_bytes,
         )
 
-    def _take(self, sock: socket.socket, peer: tuple) -> None:
+    def _add_connection(self, sock: socket.socket, peer: tuple) -> None:
         conn = Connection(self.hub, sock)
         conn.peer = f"{peer[0]}:{peer[1]}" if peer else ""
         conn.draining = self.draining
@@ -217,6 +227,6 @@
                 self.serve(conn)
             except (Closed, TimedOut):
                 pass
-            conn.linger(LINGER_FOR)
+            conn.linger(LINGER_TIMEOUT)
         finally:
-            self._forget(conn)
+            self._remove(conn)
--- a/aspenrill/net/ring.py
+++ b/aspenrill/net/ring.py
@@ -1,16 +1,16 @@
-"""A bounded ring of bytes: one for each direction of a connection."""
+"""A bounded ring buffer of bytes, one for each direction of a connection."""
 
 from __future__ import annotations
 
-SPARE = 64  # buffers of one size that are kept for another use
-_spare: dict[int, list[memoryview]] = {}
+MAX_FREE_BUFFERS = 64  # buffers of one size kept for reuse
+_free_buffers: dict[int, list[memoryview]] = {}
 
 
 class Ring:
-    """First in, first out. `space` and `data` give views to read into and to send from without a copy.
+    """A FIFO of bytes. `space` and `data` return views to receive into and send from without a copy.
 
-    A buffer is taken when bytes come, and given back by `rest` once none is held: most connections are quiet,
-    and buffers made and dropped with each one left the heap full of holes.
+    The memory is allocated when data arrives and returned to a free list by `release_buffer` once the ring is
+    empty: most connections are idle, and allocating and freeing buffers with each one fragmented the heap.
     """
 
     __slots__ = ("_view", "_start", "_size", "capacity")
@@ -22,29 +22,29 @@
 
     def _buffer(self) -> memoryview:
         if self._view is None:
-            spare = _spare.get(self.capacity)
-            self._view = spare.pop() if spare else memoryview(bytearray(self.capacity))
+            buffers = _free_buffers.get(self.capacity)
+            self._view = buffers.pop() if buffers else memoryview(bytearray(self.capacity))
         return self._view
 
-    def rest(self) -> None:
-        """Give the buffer back if nothing is held."""
+    def release_buffer(self) -> None:
+        """Returns the memory to the free list if the ring is empty."""
         if self._view is not None and not self._size:
-            spare = _spare.setdefault(self.capacity, [])
-            if len(spare) < SPARE:
-                spare.append(self._view)
+            buffers = _free_buffers.setdefault(self.capacity, [])
+            if len(buffers) < MAX_FREE_BUFFERS:
+                buffers.append(self._view)
             self._view, self._start = None, 0
 
     def clear(self) -> None:
-        """Drop all, and the buffer."""
+        """Drops all data and releases the memory."""
         self._size = 0
-        self.rest()
+        self.release_buffer()
 
     def __len__(self) -> int:
         return self._size
 
     @property
     def free(self) -> int:
-        """How many bytes still fit."""
+        """The number of bytes that still fit."""
         return self.capacity - self._size
 
     def _views(self, start: int, size: int) -> list[memoryview]:
@@ -55,31 +55,31 @@
         return [view[start:], view[: end - self.capacity]]
 
     def space(self) -> memoryview:
-        """The first free stretch; `added` says how much of it was filled."""
+        """Returns the first contiguous free range; `commit` marks what was written to it."""
         view, at = self._buffer(), self._start + self._size
         if at >= self.capacity:
             return view[at - self.capacity : self._start]
         return view[at:]
 
-    def added(self, count: int) -> None:
-        """So many bytes of `space` now hold data."""
+    def commit(self, count: int) -> None:
+        """Marks `count` bytes of `space` as filled."""
         if not 0 <= count <= self.free:
             raise ValueError(f"added {count} with {self.free} free")
         self._size += count
 
     def data(self) -> memoryview:
-        """The first stretch of what is held; `drop` says how much of it is done with."""
+        """Returns the first contiguous range of data; `drop` consumes it."""
         return self._buffer()[self._start : min(self._start + self._size, self.capacity)]
 
     def drop(self, count: int) -> None:
-        """The oldest bytes are done with."""
+        """Discards the oldest `count` bytes."""
         if not 0 <= count <= self._size:
             raise ValueError(f"dropped {count} of {self._size}")
         self._size -= count
         self._start = (self._start + count) % self.capacity if self._size else 0
 
     def push(self, data: bytes | memoryview) -> int:
-        """Take in what fits of `data`; how much that was."""
+        """Appends as much of `data` as fits; returns the number of bytes."""
         count = min(len(data), self.free)
         done = 0
         for part in self._views(self._start + self._size, count):
@@ -89,7 +89,7 @@
         return count
 
     def peek(self, count: int) -> bytes:
-        """The oldest bytes, which stay."""
+        """Returns up to `count` of the oldest bytes without consuming them."""
         if not self._size:
             return b""
         end = self._start + min(count, self._size)
@@ -98,7 +98,7 @@
         return b"".join((self._view[self._start :], self._view[: end - self.capacity]))
 
     def pull(self, count: int) -> bytes:
-        """The oldest bytes, which go."""
+        """Returns and consumes up to `count` of the oldest bytes."""
         taken = self.peek(count)
         self.drop(len(taken))
         return taken
--- a/aspenrill/net/scarcity.py
+++ b/aspenrill/net/scarcity.py
@@ -1,4 +1,4 @@
-"""Calls that want what the system may lack for a moment: descriptors, memory, an address in use."""
+"""Retries system calls during transient resource exhaustion: descriptors, memory, an address in use."""
 
 from __future__ import annotations
 
@@ -7,21 +7,23 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-PASSING = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EADDRINUSE))
-PAUSE = 0.02  # seconds between two tries
-START_FOR = 5.0  # seconds that a start waits for its sockets and files: a former process may be ending
-READ_FOR = 1.0  # seconds that a new configuration is read again for
+TRANSIENT_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EADDRINUSE)
+)
+RETRY_DELAY = 0.02  # seconds between two attempts
+START_FOR = 5.0  # seconds; at start-up a previous process may still be exiting and hold the address
+READ_FOR = 1.0  # seconds for reading a changed configuration
 
-Made = TypeVar("Made")
+Result = TypeVar("Result")
 
 
-def retry(call: Callable[[], Made], seconds: float, pause: Callable[[float], None] = time.sleep) -> Made:
-    """What the call gives; its OSError where that is of another kind, or comes for so long."""
+def retry(call: Callable[[], Result], seconds: float, pause: Callable[[float], None] = time.sleep) -> Result:
+    """Repeats `call` while it fails with a transient error, for up to `seconds`; raises other errors."""
     until = time.monotonic() + seconds
     while True:
         try:
             return call()
         except OSError as why:
-            if why.errno not in PASSING or time.monotonic() >= until:
+            if why.errno not in TRANSIENT_ERRNOS or time.monotonic() >= until:
                 raise
-        pause(PAUSE)
+        pause(RETRY_DELAY)
--- a/aspenrill/net/timers.py
+++ b/aspenrill/net/timers.py
@@ -1,8 +1,8 @@
-"""Timers of the hub: heapq with lazy deletion.
+"""Timers of the event loop: heapq with lazy deletion.
 
-The library's `sched` was measured first. Its cancel removes from a list and builds the heap anew, and nearly
-every wait here is cancelled. One enter and cancel took 30 us among 300 pending timers, 99 us among 1,000 and
-291 us among 3,000; a loaded front end does some thousands of them a second. Here it is about 1 us.
+The standard library's `sched` is too slow here: its cancel searches a list and rebuilds the heap, and nearly
+every timer is cancelled. One enter and cancel took 30 us with 300 pending timers, 99 us with 1,000 and 291 us
+with 3,000, and a loaded front end does several thousand of them a second. This module takes about 1 us.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from typing import Any
 
-SWEEP = 512  # timers set between two looks for cancelled ones, which go where they are the most
+SWEEP_INTERVAL = 512  # timers set between two checks whether most entries are cancelled
 
 
 class Timer:
-    """One pending call; `cancel` may be called at any time, also after it has fired."""
+    """A scheduled call. `cancel` may be called at any time, also after it has fired."""
 
     __slots__ = ("call", "args", "timers")
 
@@ -24,36 +24,36 @@
         self.args, self.timers = args, timers
 
     def cancel(self) -> None:
-        """Never fire; what the call holds is let go now, the heap's entry in its time or in a sweep."""
+        """Cancels the call and drops its references; its heap entry is removed later."""
         if self.call is not None:
             self.timers.cancelled += 1
             self.call, self.args = None, ()
 
 
 class Timers:
-    """Calls to be made at their times; those of one time in the order in which they were set."""
+    """Scheduled calls, ordered by due time and then by the order in which they were set."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
         self._heap: list[tuple[float, int, Timer]] = []
-        self._number = 0
-        self.cancelled = 0  # that lie in the heap
+        self._last_number = 0
+        self.cancelled = 0  # cancelled entries still in the heap
 
     def at(self, due: float, call: Callable[..., Any], *args: Any) -> Timer:
-        """Call once the clock has reached `due`."""
+        """Schedules a call for when the clock reaches `due`."""
         timer = Timer(call, args, self)
-        self._number += 1
-        heapq.heappush(self._heap, (due, self._number, timer))
-        if self._number % SWEEP == 0 and self.cancelled > len(self._heap) // 2:
+        self._last_number += 1
+        heapq.heappush(self._heap, (due, self._last_number, timer))
+        if self._last_number % SWEEP_INTERVAL == 0 and self.cancelled > len(self._heap) // 2:
             self._sweep()
         return timer
 
     def after(self, delay: float, call: Callable[..., Any], *args: Any) -> Timer:
-        """Call once `delay` seconds have passed."""
+        """Schedules a call in `delay` seconds."""
         return self.at(self.clock() + delay, call, *args)
 
     def next_due(self) -> float | None:
-        """When the earliest live timer is due."""
+        """Returns the due time of the earliest active timer, None if there is none."""
         heap = self._heap
         while heap and heap[0][2].call is None:
             heapq.heappop(heap)
@@ -61,19 +61,19 @@
         return heap[0][0] if heap else None
 
     def run_due(self) -> None:
-        """Make the calls whose time has come; one that they set anew waits for the next round."""
+        """Makes the calls that are due; timers set meanwhile wait for the next round."""
         now, heap, due = self.clock(), self._heap, []
         while heap and heap[0][0] <= now:
             due.append(heapq.heappop(heap)[2])
         for timer in due:
             call, args = timer.call, timer.args
             timer.cancel()
-            self.cancelled -= 1  # it lies there no more
+            self.cancelled -= 1  # already removed from the heap
             if call is not None:
                 call(*args)
 
     def _sweep(self) -> None:
-        """Drop cancelled entries: long time-outs must not pile up behind short waits."""
+        """Removes cancelled entries: long time-outs of short waits would accumulate otherwise."""
         self._heap = [entry for entry in self._heap if entry[2].call is not None]
         heapq.heapify(self._heap)
         self.cancelled = 0
--- a/aspenrill/net/wallclock.py
+++ b/aspenrill/net/wallclock.py
@@ -1,4 +1,4 @@
-"""The wall clock, for the people on call: the time of a log line, and a line for each step of the clock."""
+"""Wall clock time for logs: the timestamp of each line, and an event for each step of the clock."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from .hub import Hub
 
-LOOK_EVERY = 1.0  # seconds between two looks
-LEAST_STEP = 0.05  # seconds between wall and monotonic clock that count as a step; slewing is slower
+CHECK_INTERVAL = 1.0  # seconds between two checks
+MIN_STEP = 0.05  # seconds of change against the monotonic clock that count as a step; slewing is slower
 
 
 class Timestamps:
-    """Times in UTC with milliseconds, as at the head of log lines. The text of a second is made once."""
+    """Formats the current UTC time with milliseconds; the text of each second is cached."""
 
     def __init__(self) -> None:
         self._second, self._text = -1, ""
 
     def __call__(self) -> str:
-        """Now."""
+        """Returns the current time."""
         milliseconds = time.time_ns() // 1_000_000
         second = milliseconds // 1000
         if second != self._second:
@@ -26,11 +26,11 @@
 
 
 def watch_wall_clock(hub: Hub) -> None:
-    """A task's work: one log line for each step."""
+    """Task body: logs each step of the wall clock."""
     offset = time.time() - time.monotonic()
     while True:
-        hub.sleep(LOOK_EVERY)
+        hub.sleep(CHECK_INTERVAL)
         now = time.time() - time.monotonic()
-        if abs(now - offset) >= LEAST_STEP:
+        if abs(now - offset) >= MIN_STEP:
             hub.events.event("wall_clock_stepped", by=now - offset)
         offset = now
--- a/tests/stubborn.py
+++ b/tests/failing_socket.py
@@ -1,4 +1,4 @@
-"""A socket whose calls come short or fail as told, and a connection over it."""
+"""A socket whose calls fail or are cut short as scripted, and a connection over it."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from aspenrill.net.hub import Hub
 
 
-class Stubborn:
-    """A socket whose calls fail at first, or take so many bytes only."""
+class FailingSocket:
+    """A socket whose first calls raise scripted errors or accept only a scripted number of bytes."""
 
     def __init__(self, sock: socket.socket, first: dict[str, list]) -> None:
         self.sock, self.first, self.tried = sock, first, []
@@ -29,12 +29,12 @@
         return call if name in ("recv", "recv_into", "send", "sendmsg") else getattr(self.sock, name)
 
 
-def pair(hub: Hub, **first: list) -> tuple[Connection, socket.socket]:
+def failing_pair(hub: Hub, **first: list) -> tuple[Connection, socket.socket]:
     server = socket.create_server(("127.0.0.1", 0))
     ours = socket.create_connection(server.getsockname())
     theirs = server.accept()[0]
     server.close()
     theirs.settimeout(5)
     conn = Connection(hub, ours)
-    conn.sock = Stubborn(ours, first)
+    conn.sock = FailingSocket(ours, first)
     return conn, theirs
--- a/tests/test_answer_writer.py
+++ b/tests/test_answer_writer.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from stubborn import pair
+from failing_socket import failing_pair
 
 from aspenrill.fronts.thrift_answers import AnswerWriter, UnreadBytes
 from aspenrill.net.conn import Connection
@@ -23,7 +23,7 @@
 def writer_of(most: int, take: int) -> tuple[Hub, AnswerWriter, Connection, socket.socket]:
     """A writer whose first write takes so many bytes."""
     hub = Hub()
-    conn, far = pair(hub, sendmsg=[take], send=[take])
+    conn, far = failing_pair(hub, sendmsg=[take], send=[take])
     return hub, AnswerWriter(hub, conn, UnreadBytes(most)), conn, far
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -129,7 +129,7 @@
                 far.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset)
             far.close()
             if conn is None:
-                script.until(lambda: mine.ended())
+                script.until(lambda: mine.peer_closed())
 
         if how == "read, then reset":
             script.answers[0] = cut
@@ -203,18 +203,18 @@
             script.answers = [rows(b"a") * 2]
         assert script.end(script.start()).outcome is api.Outcome.OK
         if how != "with the answer":
-            mine, far, quiet = script.peer.idle[0], script.far(), script.peer.idle[0].quiet
+            mine, far, quiet = script.peer.idle[0], script.far(), script.peer.idle[0].is_idle
 
             def look() -> bool:
                 far.sock.send(rows(b"a"))
-                script.until(lambda: mine.ended() is None)
+                script.until(lambda: mine.peer_closed() is None)
                 return quiet()
 
             if how == "while idle":
                 far.sock.send(rows(b"a"))
                 script.until(lambda: not mine.open)
             else:
-                mine.quiet = look
+                mine.is_idle = look
         script.answers = [rows(b"b")]
         script.end(script.start("b"))
         script.until(lambda: len(script.listener.connections) == 1)
--- a/tests/test_both_connections.py
+++ b/tests/test_both_connections.py
@@ -93,7 +93,7 @@
 
     def play():
         listener = world.node.fronts[0][1]
-        listener.most = 6
+        listener.max_connections = 6
         world.engines[0].act = lambda s: Act(after=1.0 if s == "slow" else 0)
         first = world.client()
         first.send("slow")
@@ -113,7 +113,7 @@
 
     def play():
         listener = world.node.fronts[0][1]
-        listener.most = 6
+        listener.max_connections = 6
         usual = world.client()
         assert usual.ask("select 1").kind == "served"
         mute = [connect(world.hub, world.address, time.monotonic() + 2) for _ in range(40)]
@@ -172,7 +172,7 @@
         world.hub.sleep(0.1)
 
     def play():
-        world.node.fronts[0][1].most = 12
+        world.node.fronts[0][1].max_connections = 12
         churn(20)
         gc.collect()
         before = count()
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which connection of a listener is missed least."""
+"""The order in which a listener evicts connections."""
 
 from __future__ import annotations
 
@@ -6,42 +6,42 @@
 
 import pytest
 
-from aspenrill.net.eviction import REST_FOR, STUCK_FOR, least_missed, longest_stuck
+from aspenrill.net.eviction import BLOCKED_AFTER, IDLE_LONG_AFTER, eviction_candidate, longest_blocked
 
 NOW = 1000.0
 
 
-def connection(**told: object) -> SimpleNamespace:
-    """A quiet connection that has carried requests, used a second ago, but for what is told."""
-    usual = {
-        "shut": False,
+def connection(**overrides: object) -> SimpleNamespace:
+    """An idle connection that has carried requests, used a second ago, with `overrides`."""
+    defaults = {
+        "write_shut": False,
         "busy": 0,
         "incoming": b"",
-        "begun": False,
+        "mid_message": False,
         "spoke": True,
         "requests": 1,
-        "used": NOW - 1.0,
-        "writing_since": 0.0,
-        "ended": lambda: False,
+        "last_used_at": NOW - 1.0,
+        "write_started_at": 0.0,
+        "peer_closed": lambda: False,
     }
-    return SimpleNamespace(**usual | told)
+    return SimpleNamespace(**defaults | overrides)
 
 
 ORDER = {
-    "silent for longer than clients stay": connection(used=NOW - REST_FOR - 1),
-    "mute": connection(spoke=False, requests=0),
-    "new": connection(spoke=False, requests=0, used=NOW),
-    "asked nothing": connection(requests=0),
-    "quiet": connection(),
-    "quiet for less long": connection(used=NOW - 0.5),
-    "half a message": connection(begun=True, incoming=b"half"),
+    "idle for longer than clients stay": connection(last_used_at=NOW - IDLE_LONG_AFTER - 1),
+    "silent": connection(spoke=False, requests=0),
+    "new": connection(spoke=False, requests=0, last_used_at=NOW),
+    "no requests": connection(requests=0),
+    "idle": connection(),
+    "idle for less long": connection(last_used_at=NOW - 0.5),
+    "partial message": connection(mid_message=True, incoming=b"half"),
 }
 
 
 @pytest.mark.parametrize("at", range(len(ORDER)), ids=list(ORDER))
-def test_the_one_that_is_missed_least_goes_first(at):
-    left = list(ORDER.values())[at:]
-    assert least_missed(reversed(left), NOW) is left[0]
+def test_connections_are_evicted_in_rank_order(at):
+    remaining = list(ORDER.values())[at:]
+    assert eviction_candidate(reversed(remaining), NOW) is remaining[0]
 
 
 @pytest.mark.parametrize(
@@ -49,17 +49,21 @@
     [
         {"busy": 1},
         {"incoming": b"a whole message"},
-        {"ended": lambda: None},  # something lies unread
-        {"shut": True},
+        {"peer_closed": lambda: None},  # unread data
+        {"write_shut": True},
     ],
-    ids=["open request", "message read", "bytes unread", "ending"],
+    ids=["open request", "message read", "bytes unread", "closing"],
 )
-def test_what_may_carry_a_request_is_not_ended(carries):
-    assert least_missed([connection(used=NOW - 60, **carries)], NOW) is None
+def test_a_connection_that_may_carry_a_request_is_not_evicted(carries):
+    assert eviction_candidate([connection(last_used_at=NOW - 60, **carries)], NOW) is None
 
 
-def test_of_clients_that_take_no_answer_the_longest_goes():
-    longest = connection(writing_since=NOW - STUCK_FOR - 2)
-    others = [connection(writing_since=NOW - STUCK_FOR - 1), connection(writing_since=NOW - 1), connection()]
-    assert longest_stuck([*others, longest], NOW) is longest
-    assert longest_stuck(others[1:], NOW) is None
+def test_the_write_that_is_blocked_longest_is_chosen():
+    longest = connection(write_started_at=NOW - BLOCKED_AFTER - 2)
+    others = [
+        connection(write_started_at=NOW - BLOCKED_AFTER - 1),
+        connection(write_started_at=NOW - 1),
+        connection(),
+    ]
+    assert longest_blocked([*others, longest], NOW) is longest
+    assert longest_blocked(others[1:], NOW) is None
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""A real front end whose calls to the system fail as Linux documents: each request has its one answer."""
+"""A front-end process whose system calls fail as documented: each request still gets exactly one answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
 from standins.scene import play
 from standins.world import ROWS, Act
 
-RATE, CLIENTS, ASKED = "0.05", 6, 60  # of calls that fail; connections, and requests of each
+RATE = "0.05"  # share of the calls that fail
+CLIENTS = 6  # connections
+REQUESTS = 60  # on each connection
 SETTINGS = INFO | {"group_size": 1, "me": 0}
 
 
@@ -28,16 +30,18 @@
     made.stop()
 
 
-def test_each_request_has_one_answer_whatever_calls_fail(failing):
-    hub, kinds, lost, crossed, left = failing.hub, [], [], [], [CLIENTS]
+def test_each_request_gets_one_answer_if_calls_fail(failing):
+    hub, kinds, lost, crossed, running = failing.hub, [], [], [], [CLIENTS]
 
-    def ask(client: ThriftClient, me: int) -> None:
+    def send_requests(client: ThriftClient, me: int) -> None:
         number, again = 0, False
-        while number < ASKED:
+        while number < REQUESTS:
             statement = f"q {me} {number}"
             try:
                 reply = client.ask(statement, WITHIN, req=f"{me:08x}{number:07x}{again:x}")
-            except Closed as why:  # once more, by the protocol: it crossed the end of a resting connection
+            except (
+                Closed
+            ) as why:  # retry as the protocol says: it was sent while an idle connection was closed
                 if again or failing.begins(statement):
                     lost.append((statement, repr(why)))
                     break
@@ -50,13 +54,13 @@
             kinds.append(reply.kind)
             assert reply.kind != "served" or reply.rows == ROWS
             number, again = number + 1, False
-        left[0] -= 1
+        running[0] -= 1
 
     def scene() -> None:
         for me in range(CLIENTS):
-            hub.spawn(ask, failing.client("lookup"), me)
+            hub.spawn(send_requests, failing.client("lookup"), me)
         end = time.monotonic() + WITHIN
-        while left[0]:
+        while running[0]:
             assert time.monotonic() < end and failing.process.poll() is None, failing.log()[-3000:]
             hub.sleep(0.05)
         failing.process.send_signal(signal.SIGTERM)
@@ -71,4 +75,4 @@
     assert not lost, (lost, failing.log()[-3000:])
     assert len(crossed) <= failing.log().count('reason="room for another'), (crossed, failing.log()[-3000:])
     assert failing.process.returncode == 0 and "error:" not in failing.log(), failing.log()[-3000:]
-    assert kinds.count("served") > 0.9 * CLIENTS * ASKED, failing.log()[-3000:]
+    assert kinds.count("served") > 0.9 * CLIENTS * REQUESTS, failing.log()[-3000:]
--- a/tests/test_heldbytes.py
+++ b/tests/test_heldbytes.py
@@ -1,12 +1,12 @@
-"""The bound on bytes of messages that have not come whole."""
+"""The limit on buffered bytes of incomplete messages."""
 
 from __future__ import annotations
 
-from aspenrill.net.heldbytes import HeldBytes
+from aspenrill.net.heldbytes import PartialMessageBytes
 
 
 class Holder:
-    """Notes why it is read no more."""
+    """Records the reason for which reading stopped."""
 
     def __init__(self, busy: int = 0) -> None:
         self.busy, self.reason = busy, ""
@@ -15,20 +15,20 @@
         self.reason = reason
 
 
-def test_the_longest_silent_with_nothing_open_gives_way_first():
-    held, busy, first, second, third = HeldBytes(100), Holder(busy=1), Holder(), Holder(), Holder()
+def test_the_longest_silent_connection_without_requests_is_stopped_first():
+    held, busy, first, second, third = PartialMessageBytes(100), Holder(busy=1), Holder(), Holder(), Holder()
     for holder in (busy, first, second):
-        held.hold(holder, 30)
-    held.hold(first, 35)  # a byte more of it has come: the second is the longest silent now
-    held.hold(third, 20)
+        held.set_held(holder, 30)
+    held.set_held(first, 35)  # it received more data: the second is the longest silent now
+    held.set_held(third, 20)
     assert [each.reason != "" for each in (busy, first, second, third)] == [False, False, True, False]
     assert held.total == 85
 
 
-def test_one_with_open_requests_gives_way_only_where_no_other_is_left():
-    held, busy, other = HeldBytes(50), Holder(busy=1), Holder(busy=2)
-    held.hold(busy, 40)
-    held.hold(other, 40)
+def test_a_connection_with_open_requests_is_stopped_only_if_no_other_is_left():
+    held, busy, other = PartialMessageBytes(50), Holder(busy=1), Holder(busy=2)
+    held.set_held(busy, 40)
+    held.set_held(other, 40)
     assert busy.reason and not other.reason and held.total == 40
     held.release(other)
     held.release(other)
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -1,4 +1,4 @@
-"""Connections to clients end in order: what was taken is answered, what crosses the end is not taken."""
+"""Orderly close of client connections: accepted requests are answered, later ones are not run."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 BAD = {"thrift": b"\0\0\0\4GET ", "tds": tds.packets(tds.SQL_BATCH, tds.sql_batch("select 2"))}
 
 
-def ended(client) -> None:
-    """Its next read finds the end of the stream, not a reset."""
+def assert_ended(client) -> None:
+    """Asserts that the next read finds the end of the stream, not a reset."""
     with pytest.raises(Closed, match="end of stream"):
         client.conn.fill(time.monotonic() + 10)
 
 
 @pytest.mark.parametrize("protocol", ["thrift", "tds"])
-def test_what_is_open_is_answered_before_a_bad_client_is_ended(protocol):
-    # its request was taken: closing at once lost it
+def test_open_requests_are_answered_before_a_misbehaving_client_is_disconnected(protocol):
+    # closing at once lost a request that had been accepted
     world = World(protocol, 1)
 
     def play():
@@ -36,7 +36,7 @@
         assert client.read(10).rows == ROWS
         if protocol == "tds":
             assert client.read(10).kind == "broken"
-        ended(client)
+        assert_ended(client)
         assert world.engines[0].statements == ["select 1"]
         client.close()
         world.until(lambda: not world.node.fronts[0][1].connections)
@@ -44,8 +44,8 @@
     world.run(play)
 
 
-def test_answers_before_an_end_over_unread_bytes_arrive():
-    # the close reset the connection, and they went with it
+def test_answers_arrive_before_a_close_with_unread_data():
+    # the close reset the connection, which discarded the answers
     world = World("thrift", 1)
 
     def play():
@@ -53,15 +53,15 @@
         client.conn.sock.setblocking(True)
         client.conn.sock.sendall(
             b"".join(thrift.frame(thrift.CALL, "nobody", at, b"") for at in range(1, 17)) + b"\0" * 100_000
-        )  # all of it lies there before the first is read
+        )  # all of it arrives before the first message is read
         client.conn.sock.setblocking(False)
         assert [client.read(10).kind for _ in range(16)] == ["broken"] * 16
-        ended(client)
+        assert_ended(client)
 
     world.run(play)
 
 
-def test_an_answer_that_is_being_written_is_whole_for_a_client_that_has_shut_its_side():
+def test_an_answer_being_written_is_completed_after_the_client_shuts_its_write_side():
     world, long = World("thrift", 1, replace(SETTINGS, cores_by_kind=(64,))), [("1", "x" * 40, "end")] * 900
 
     def play():
@@ -71,20 +71,20 @@
         world.until(lambda: listener.connections)
         [conn] = listener.connections
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        for at in range(16):  # more than the system's buffers take
+        for at in range(16):  # more than the kernel's buffers hold
             client.send(f"select {at}")
         world.until(lambda: len(world.engines[0].ended) == 16 and not world.node.owner.open)
         world.until(lambda: service.unread.writing)
         client.conn.sock.shutdown(socket.SHUT_WR)
         world.until(lambda: conn.fd not in world.hub._waits[READ])  # the end has been read
         assert service.unread.writing and [client.read(10).rows for _ in range(16)] == [long] * 16
-        ended(client)
+        assert_ended(client)
 
     world.run(play)
 
 
-def test_a_first_request_that_comes_slowly_is_taken():
-    # 2 s for the whole of it closed connections of clients that were still writing
+def test_a_first_request_that_arrives_slowly_is_accepted():
+    # a limit of 2 s for the whole message closed connections of clients that were still writing
     world = World("thrift", 1)
 
     def play():
@@ -101,7 +101,7 @@
     world.run(play)
 
 
-def test_a_flood_does_not_hold_a_lingering_connection_beyond_its_time():
+def test_constant_input_does_not_extend_a_lingering_close():
     world = World("thrift", 1)
 
     def play():
@@ -115,34 +115,34 @@
     world.run(play)
 
 
-def crossing(world, client, conn) -> None:
-    """A request is written between the last look at the connection and what is done upon it."""
+def send_during_close(world, client, conn) -> None:
+    """Makes the client send a request between the last check of the connection and its close."""
 
-    def look() -> bool:
-        found = Connection.ended(conn)
+    def check() -> bool:
+        found = Connection.peer_closed(conn)
         if found is False:
             client.send("select crossing")
         return found
 
-    conn.ended = look
+    conn.peer_closed = check
 
 
-@pytest.mark.parametrize("how", ["drained", "another needs its place"])
-def test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_sent_on(how):
-    # closed over it, the connection was reset
+@pytest.mark.parametrize("how", ["drained", "evicted"])
+def test_a_request_sent_while_an_idle_connection_is_closed_is_not_forwarded(how):
+    # closing with the request unread reset the connection
     world = World("thrift", 1)
 
     def play():
         client, listener = world.client(), world.node.fronts[0][1]
         assert client.ask("select 1").rows == ROWS
         [conn] = listener.connections
-        crossing(world, client, conn)
+        send_during_close(world, client, conn)
         if how == "drained":
             listener.drain()
         else:
-            listener.most = 1
+            listener.max_connections = 1
             assert world.client().ask("select 1").rows == ROWS
-        ended(client)
+        assert_ended(client)
         client.close()
         world.until(lambda: conn not in listener.connections)
         assert "select crossing" not in world.engines[0].statements
@@ -151,32 +151,32 @@
 
 
 @pytest.mark.parametrize("closing", [False, True])
-def test_a_drained_listener_answers_its_backlog_and_what_is_open_and_ends_all(monkeypatch, closing):
-    # closing the listening socket resets what it has not accepted
+def test_a_drained_listener_answers_its_backlog_and_open_requests_and_closes_all(monkeypatch, closing):
+    # closing the listening socket resets connections that it has not accepted
     world = World("thrift", 1)
 
     def play():
         listener = world.node.fronts[0][1]
         world.engines[0].act = lambda s: Act(after=0.2)
-        taken, resting = world.client(), world.client()
-        taken.send("select 1")
+        active, idle = world.client(), world.client()
+        active.send("select 1")
         world.until(lambda: world.engines[0].began)
         monkeypatch.setattr(
             "standins.clients.connect",
             lambda hub, address, until: Connection(hub, socket.create_connection(address)),
-        )  # as far as the backlog: nobody accepts meanwhile
+        )  # established in the backlog only: nothing accepts meanwhile
         waiting = [world.client() for _ in range(10)]
         for client in waiting:
             client.send("select 2")
         if closing:
             world.node.owner.closed = True
         listener.drain()
-        ended(resting)
-        assert taken.read(10).rows == ROWS
+        assert_ended(idle)
+        assert active.read(10).rows == ROWS
         assert [c.read(10).kind for c in waiting] == ["refused" if closing else "served"] * 10
-        for client in (taken, resting, *waiting):
-            if client is not resting:
-                ended(client)
+        for client in (active, idle, *waiting):
+            if client is not idle:
+                assert_ended(client)
             client.close()
         world.until(lambda: not listener.connections)
         with pytest.raises(OSError):
@@ -187,7 +187,7 @@
     world.run(play)
 
 
-def test_an_answer_in_the_round_of_the_end_of_a_bad_client_is_written():
+def test_an_answer_in_the_loop_round_that_disconnects_the_client_is_written():
     world = World("thrift", 1)
 
     def play():
@@ -200,7 +200,7 @@
         world.until(lambda: conn.draining)
         fill, entered = conn.fill, []
 
-        def crossed(until) -> None:
+        def fill_then_fail(until) -> None:
             entered.append(until)
             try:
                 fill(until)
@@ -209,17 +209,17 @@
                 owner._final(call, Failed("crossed"))
                 raise
 
-        conn.fill = crossed
-        client.conn.write(b"x", time.monotonic() + 5)  # it reads on, by the new way
+        conn.fill = fill_then_fail
+        client.conn.write(b"x", time.monotonic() + 5)  # it now reads through the replaced method
         world.until(lambda: entered)
         client.conn.sock.shutdown(socket.SHUT_WR)
         assert client.read(10).kind == "failed"
-        ended(client)
+        assert_ended(client)
 
     world.run(play)
 
 
-def test_waits_for_a_signal_that_is_not_set_leave_nothing():
+def test_timed_out_waits_for_a_signal_leave_no_waiter():
     world = World("thrift", 1)
 
     def play():
@@ -232,30 +232,30 @@
     world.run(play)
 
 
-def test_a_crowd_that_never_closes_shuts_nobody_out():
+def test_clients_that_never_close_do_not_block_new_ones():
     world = World("thrift", 1)
 
     def play():
-        listener, crowd = world.node.fronts[0][1], []
-        listener.most = 16
+        listener, clients = world.node.fronts[0][1], []
+        listener.max_connections = 16
         for _ in range(50):
-            crowd.append(world.client())  # asks once and stays, also when its connection is ended
-            assert crowd[-1].ask("select 1").rows == ROWS
+            clients.append(world.client())  # sends one request and stays, even after the server closes
+            assert clients[-1].ask("select 1").rows == ROWS
             assert len(listener.connections) <= 16
-        for client in crowd[:20]:
-            ended(client)
+        for client in clients[:20]:
+            assert_ended(client)
 
     world.run(play)
 
 
-def test_whole_requests_that_have_been_read_keep_their_connection(monkeypatch):
-    # they lay in its buffer while its task gave way: the system held nothing unread, so that it seemed quiet
+def test_buffered_requests_keep_their_connection(monkeypatch):
+    # while the task yielded, they were buffered and the kernel held nothing, so the connection looked idle
     monkeypatch.setattr("aspenrill.fronts.thrift.TURN", 1)
     world = World("thrift", 1)
 
     def play():
         listener, give_way, client = world.node.fronts[0][1], world.hub.give_way, world.client()
-        world.hub.give_way = lambda: (give_way(), listener._make_room())
+        world.hub.give_way = lambda: (give_way(), listener._evict())
         client.conn.write(
             b"".join(thrift.frame(thrift.CALL, "nobody", at, b"") for at in range(1, 9)), time.monotonic() + 5
         )
@@ -265,23 +265,23 @@
 
 
 @pytest.mark.parametrize("protocol", ["thrift", "tds"])
-def test_a_draining_connection_ends_behind_its_last_answer(protocol):
+def test_a_draining_connection_closes_after_its_last_answer(protocol):
     world = World(protocol, 1)
 
     def play():
         listener = world.node.fronts[0][1]
-        taken, resting = world.client(), world.client()
-        assert resting.ask("select 0").rows == ROWS
+        active, idle = world.client(), world.client()
+        assert idle.ask("select 0").rows == ROWS
         world.engines[0].act = lambda s: Act(after=0.2)
-        taken.send("select 1")
+        active.send("select 1")
         world.until(lambda: len(world.engines[0].began) == 2)
         listener.drain()
-        ended(resting)
-        assert len(listener.connections) == 2  # the one lingers, the other is owed an answer
-        assert taken.read(10).rows == ROWS
-        ended(taken)
-        taken.close()
-        resting.close()
+        assert_ended(idle)
+        assert len(listener.connections) == 2  # one lingers, the other has an open request
+        assert active.read(10).rows == ROWS
+        assert_ended(active)
+        active.close()
+        idle.close()
         world.until(lambda: not listener.connections)
 
     world.run(play)
--- a/tests/test_news_since.py
+++ b/tests/test_news_since.py
@@ -1,4 +1,4 @@
-"""How long what has come may have lain unread: a program that was stopped must not take it for new."""
+"""The arrival bound of input: a process that was stopped must not treat old data as just received."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from aspenrill.net.hub import READ, Hub
 from standins.scene import play
 
-STOP = 0.3  # seconds
+STOP_S = 0.3
 
 
 class StoppedPoll:
-    """In its first wait something comes, and the program is stopped for a while; then the wait may fail."""
+    """During its first poll data arrives and the process is stopped; then the poll may fail."""
 
     def __init__(self, real, comes, fails: bool) -> None:
         self.real, self.comes, self.fails, self.first = real, comes, fails, True
@@ -27,14 +27,14 @@
         if self.first:
             self.first = False
             self.comes()
-            time.sleep(STOP)
+            time.sleep(STOP_S)
             if self.fails:
                 raise OSError(errno.ENOMEM, "ENOMEM")
         return self.real.poll(timeout)
 
 
-@pytest.mark.parametrize("fails", [False, True], ids=["looks", "a look fails in between"])
-def test_what_came_while_the_program_was_stopped_is_dated_before_the_stop(fails):
+@pytest.mark.parametrize("fails", [False, True], ids=["poll succeeds", "poll fails"])
+def test_data_that_arrived_while_the_process_was_stopped_is_dated_before_the_stop(fails):
     hub, dated = Hub(), []
     ours, theirs = socket.socketpair()
 
@@ -43,16 +43,16 @@
         came = time.monotonic()
         hub._poll = StoppedPoll(hub._poll, lambda: theirs.send(b"x"), fails)
         hub.wait_fd(ours.fileno(), READ, 5.0)
-        dated.append((came, hub.news_since, time.monotonic()))
+        dated.append((came, hub.arrivals_after, time.monotonic()))
 
     play(hub, scene)
     [(came, since, now)] = dated
-    assert since <= came + 0.05 and now >= came + STOP
+    assert since <= came + 0.05 and now >= came + STOP_S
     ours.close()
     theirs.close()
 
 
-def test_what_comes_to_a_program_that_waits_is_new():
+def test_data_that_arrives_during_a_wait_is_dated_now():
     hub, spans = Hub(), []
     ours, theirs = socket.socketpair()
 
@@ -60,7 +60,7 @@
         for _ in range(20):
             hub.timers.after(0.01, theirs.send, b"x")
             hub.wait_fd(ours.fileno(), READ, 5.0)
-            spans.append(time.monotonic() - hub.news_since)
+            spans.append(time.monotonic() - hub.arrivals_after)
             ours.recv(10)
 
     play(hub, scene)
--- a/tests/test_passing_errors.py
+++ b/tests/test_passing_errors.py
@@ -1,4 +1,4 @@
-"""What passes by itself ends nothing: errors of calls, messages that are none, an error of the program."""
+"""Transient system call errors, malformed messages and internal errors do not end a connection."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 import time
 
 import pytest
-from stubborn import pair
+from failing_socket import failing_pair
 
-from aspenrill.net.conn import NO_MEMORY, UNREACHED
+from aspenrill.net.conn import NO_MEMORY_ERRNOS, UNREACHABLE_ERRNOS
 from aspenrill.net.hub import Closed, Hub
 from standins.scene import play
 from standins.world import ROWS, Act, World
 
-PASSING = [*NO_MEMORY, *UNREACHED]
-NAMES = [errno.errorcode[code] for code in PASSING]
+TRANSIENT = [*NO_MEMORY_ERRNOS, *UNREACHABLE_ERRNOS]
+NAMES = [errno.errorcode[code] for code in TRANSIENT]
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -25,12 +25,12 @@
     return OSError(code, os.strerror(code))
 
 
-@pytest.mark.parametrize("code", PASSING, ids=NAMES)
-def test_an_error_that_passes_ends_no_connection(code):
+@pytest.mark.parametrize("code", TRANSIENT, ids=NAMES)
+def test_a_transient_error_does_not_end_the_connection(code):
     hub, got = Hub(), []
 
     def scene() -> None:
-        conn, far = pair(hub, recv=[error(code)] * 3, send=[error(code), 3, error(code)])
+        conn, far = failing_pair(hub, recv=[error(code)] * 3, send=[error(code), 3, error(code)])
         far.sendall(b"question")
         got.append(conn.read(8, time.monotonic() + 5))
         conn.write(b"answered", time.monotonic() + 5)
@@ -42,12 +42,12 @@
     assert got == [b"question", b"answered"]
 
 
-@pytest.mark.parametrize("code", UNREACHED, ids=NAMES[len(NO_MEMORY) :])
-def test_the_same_error_of_a_connection_that_is_over_ends_it(code):
+@pytest.mark.parametrize("code", UNREACHABLE_ERRNOS, ids=NAMES[len(NO_MEMORY_ERRNOS) :])
+def test_the_same_error_ends_a_connection_that_the_peer_has_reset(code):
     hub = Hub()
 
     def scene() -> None:
-        conn, far = pair(hub, recv=[error(code)])
+        conn, far = failing_pair(hub, recv=[error(code)])
         far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         far.close()
         with pytest.raises(Closed):
@@ -57,8 +57,8 @@
     play(hub, scene)
 
 
-def test_a_request_behind_a_message_that_is_none_is_answered_and_not_taken():
-    # the connection was read no further, and what lay behind it discarded
+def test_a_request_after_a_malformed_message_is_refused():
+    # reading stopped there and later requests were discarded without an answer
     world = World("thrift", 1)
 
     def run() -> None:
@@ -76,7 +76,7 @@
     world.run(run)
 
 
-def test_a_client_that_shuts_its_write_side_gets_an_answer_to_what_is_open():
+def test_a_client_that_shuts_its_write_side_gets_its_open_answer():
     world = World("thrift", 1)
 
     def run() -> None:
@@ -92,16 +92,16 @@
     world.run(run)
 
 
-def test_one_accept_without_a_descriptor_ends_nobody():
-    # a single EMFILE may pass by itself; a quiet connection was ended at once
+def test_one_accept_without_a_descriptor_evicts_no_connection():
+    # a single EMFILE may be transient, but an idle connection was evicted at once
     world = World("thrift", 1)
 
     def run() -> None:
         listener, client = world.node.fronts[0][1], world.client()
         assert client.ask("select 1").rows == ROWS
 
-        class Scarce:
-            """Accepts behind one error."""
+        class FailingOnce:
+            """Accepts after one error."""
 
             def __init__(self, sock: socket.socket) -> None:
                 self.sock, self.failed = sock, False
@@ -115,15 +115,15 @@
                     raise error(errno.EMFILE)
                 return self.sock.accept()
 
-        listener.sock = Scarce(listener.sock)
+        listener.sock = FailingOnce(listener.sock)
         assert world.client().ask("select 2").rows == ROWS
         assert listener.sock.failed and client.ask("select 3").rows == ROWS
 
     world.run(run)
 
 
-def test_the_number_of_a_broken_message_stays_known():
-    # an error of ours in a message must not put the numbers behind it out of step
+def test_an_internal_error_keeps_the_sequence_numbers_in_step():
+    # after an internal error in one message, the following ones were out of sequence
     world = World("thrift", 1)
 
     def run() -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -9,9 +9,9 @@
 from dataclasses import replace
 
 import pytest
+from failing_socket import failing_pair
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from stubborn import pair
 
 from aspenrill.net.connecting import Refused, connect
 from aspenrill.net.hub import Closed, Hub
@@ -129,14 +129,14 @@
             data = bytes((number + i) % 7 for i in range(min(count, box.free)))
             number += len(data)
             if not len(box):
-                box.took(data)
+                box.store(data)
             else:
                 left = data
                 while left:
                     space = box.space()
                     some = left[: len(space)]
                     space[: len(some)] = some
-                    box.added(len(some))
+                    box.commit(len(some))
                     left = left[len(some) :]
             held += data
         elif what == "pull":
@@ -164,13 +164,13 @@
 
     def scene():
         for taken in range(len(whole) + 1):
-            conn, theirs = pair(hub, sendmsg=[taken], send=[1, 2])
+            conn, theirs = failing_pair(hub, sendmsg=[taken], send=[1, 2])
             conn.write_parts(list(parts), time.monotonic() + 5)
             conn.close()
             got = b""
             while data := theirs.recv(100):
                 got += data
-            assert got == whole and conn.written == len(whole)
+            assert got == whole and conn.bytes_sent == len(whole)
             theirs.close()
 
     play(hub, scene)
@@ -183,12 +183,12 @@
     hub = Hub()
 
     def scene():
-        conn, theirs = pair(hub, recv=[error], recv_into=[error], send=[error], sendmsg=[error])
+        conn, theirs = failing_pair(hub, recv=[error], recv_into=[error], send=[error], sendmsg=[error])
         theirs.sendall(b"12345")
         assert conn.read(3, time.monotonic() + 5) == b"123"
         conn.incoming.space()  # what is left moves into the ring
         theirs.sendall(b"678")
-        conn.need(5, time.monotonic() + 5)
+        conn.wait_for_bytes(5, time.monotonic() + 5)
         assert conn.read(5, time.monotonic() + 5) == b"45678"
         conn.write_parts([b"a", b"b"], time.monotonic() + 5)
         assert theirs.recv(1) + theirs.recv(1) == b"ab"
@@ -204,7 +204,7 @@
     hub = Hub()
 
     def scene():
-        conn, theirs = pair(hub, **{call: [OSError(errno.ECONNRESET, "reset")]})
+        conn, theirs = failing_pair(hub, **{call: [OSError(errno.ECONNRESET, "reset")]})
         theirs.sendall(b"x")
         with pytest.raises(Closed):
             conn.fill(time.monotonic() + 5) if call == "recv" else conn.write_parts(
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize(
-    "code, comes_up, scarce",
+    "code, comes_up, exhausted",
     [
         (errno.EINTR, True, False),
         (errno.EINPROGRESS, True, False),
@@ -255,7 +255,7 @@
         (errno.ECONNREFUSED, False, False),
     ],
 )
-def test_each_error_of_connect_means_what_it_means(monkeypatch, code, comes_up, scarce):
+def test_each_error_of_connect_means_what_it_means(monkeypatch, code, comes_up, exhausted):
     hub, server = Hub(), socket.create_server(("127.0.0.1", 0))
 
     class Told(socket.socket):
@@ -271,7 +271,7 @@
         else:
             with pytest.raises(Refused) as why:
                 connect(hub, server.getsockname(), time.monotonic() + 5)
-            assert why.value.scarce is scarce
+            assert why.value.exhausted is exhausted
 
     play(hub, scene)
     server.close()
--- a/tests/test_path_many.py
+++ b/tests/test_path_many.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 import pytest
-from stubborn import pair
+from failing_socket import failing_pair
 
 from aspenrill.control import shed_after
 from aspenrill.fronts.thrift import Session
@@ -150,8 +150,8 @@
         client = world.client()
         assert client.ask("select 1").rows == ROWS
         [conn] = world.node.fronts[0][1].connections
-        busy, soon = [], world.hub.soon
-        world.hub.soon = lambda call: (busy.append(conn.busy), soon(call))
+        busy, call_before_poll = [], world.hub.call_before_poll
+        world.hub.call_before_poll = lambda call: (busy.append(conn.busy), call_before_poll(call))
         assert client.ask("select 2").rows == ROWS and busy == [1] and conn.busy == 0
 
     world.run(run)
@@ -183,7 +183,7 @@
 
     def scene():
         for data in (b"\0\0\0\0", b"\x7f\xff\xff\xff12", b"\0\1\0\1xx"):
-            conn, theirs = pair(hub)
+            conn, theirs = failing_pair(hub)
             theirs.sendall(data)
             with pytest.raises((Closed, Malformed)):
                 conn.frame(65536, time.monotonic() + 5)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -12,7 +12,7 @@
 from aspenrill.engines import pool
 from aspenrill.net.conn import Connection
 from aspenrill.net.connecting import Refused
-from aspenrill.net.hub import LATE, Hub, Signal, TimedOut
+from aspenrill.net.hub import TIMER_EXPIRED, Hub, Signal, TimedOut
 from standins.scene import play
 
 LONG = 20.0  # seconds that nobody waits for in a run that goes well
@@ -78,7 +78,7 @@
         if how == "interrupted":
             task.interrupt(KeyError("no longer wanted"))
         elif how == "late":
-            self.hub.wake(task.worker, task.worker.wait, LATE)
+            self.hub.wake(task.worker, task.worker.wait, TIMER_EXPIRED)
 
 
 WHAT = ["connection", "dial", "descriptor", "descriptor or connection"]
@@ -208,7 +208,7 @@
         if well:
             pools.drop(pools.take(peer, time.monotonic() + LONG))
         before, lines.held, began = lines.dials, True, time.monotonic()
-        assert not refused().scarce and time.monotonic() - began >= 0.2
+        assert not refused().exhausted and time.monotonic() - began >= 0.2
         monkeypatch.setattr(pool, "AFTER_FAILURE", LONG)
         assert lines.dials == before + 2 and "just now" in str(refused())
         monkeypatch.setattr(pool, "AFTER_FAILURE", 0.0)
@@ -248,7 +248,7 @@
         for _ in range(2):  # its times are up
             lines.gone(task, "late")
             lines.round()
-        assert lines.dials == 3 and isinstance(lines.got["slow"], Refused) and lines.got["slow"].scarce
+        assert lines.dials == 3 and isinstance(lines.got["slow"], Refused) and lines.got["slow"].exhausted
         assert lines.pools.take(lines.peer, time.monotonic() + LONG).open
 
     lines.play(scene)
@@ -337,7 +337,7 @@
             pools._sweep()
         else:
             lines.ends[0].close()
-            until(lines, lambda: conn.ended())
+            until(lines, lambda: conn.peer_closed())
         lines.round()
         if what == "news":  # looked at by its taker
             assert not conn.open
--- a/tests/test_scarcity.py
+++ b/tests/test_scarcity.py
@@ -1,4 +1,4 @@
-"""What the system lacks for a moment: a front end starts, reads its configuration and drains all the same."""
+"""Transient resource exhaustion: a front end still starts, reloads its configuration and drains."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 SETTINGS = INFO | {"group_size": 1, "me": 0}
 
 
-def refusing(times: int, code: int):
-    """A call that fails so often before it gives "made"."""
-    left = [times]
+def failing(times: int, code: int):
+    """A call that fails `times` times before it returns "made"."""
+    remaining = [times]
 
     def call() -> str:
-        left[0] -= 1
-        if left[0] >= 0:
+        remaining[0] -= 1
+        if remaining[0] >= 0:
             raise OSError(code, "no")
         return "made"
 
@@ -37,18 +37,18 @@
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRINUSE])
-def test_what_passes_is_tried_again_and_nothing_else(code):
+def test_only_transient_errors_are_retried(code):
     pauses: list[float] = []
-    assert retry(refusing(3, code), 5.0, pauses.append) == "made" and len(pauses) == 3
+    assert retry(failing(3, code), 5.0, pauses.append) == "made" and len(pauses) == 3
     with pytest.raises(OSError):
-        retry(refusing(1, code), 0.0, pauses.append)
+        retry(failing(1, code), 0.0, pauses.append)
     with pytest.raises(FileNotFoundError):
-        retry(refusing(1, errno.ENOENT), 5.0, pauses.append)
+        retry(failing(1, errno.ENOENT), 5.0, pauses.append)
     assert len(pauses) == 3
 
 
-def test_a_front_end_starts_where_its_address_is_still_held(tmp_path):
-    # a former process that ends slowly listens there still
+def test_a_front_end_starts_while_its_address_is_still_in_use(tmp_path):
+    # a previous process that exits slowly still listens there
     front = FrontEnd(tmp_path, ("-m",))
     former = socket.socket()
     former.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -70,8 +70,8 @@
         front.stop()
 
 
-def test_a_new_configuration_is_taken_though_no_descriptor_is_left_for_its_file(tmp_path, monkeypatch):
-    # else the front end would go on asking a bulletin that has moved, and learn of no drain
+def test_a_new_configuration_is_loaded_despite_descriptor_exhaustion(tmp_path, monkeypatch):
+    # otherwise the front end would keep polling a bulletin that has moved and miss drains
     logged: list[str] = []
     hub, path = Hub(logged.append), tmp_path / "node.json"
 
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENOBUFS, errno.EPROTO, errno.ENETDOWN, errno.EINTR])
-def test_a_listener_that_drains_takes_its_backlog_though_accept_fails(code):
+def test_a_draining_listener_accepts_its_backlog_though_accept_fails(code):
     hub, served = Hub(lambda text: None), []
     listener = Listener(
         hub, ("127.0.0.1", 0), lambda conn: served.append(conn.read(1, time.monotonic() + 5)), 10, "front"
@@ -116,7 +116,7 @@
     real, failures = listener.sock, [code] * 5
 
     class Failing:
-        """The listening socket, of which the first accepts fail."""
+        """A listening socket whose first accepts fail."""
 
         def accept(self):
             if failures:
