--- a/aspenrill/fronts/__init__.py
+++ b/aspenrill/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Speaking to clients: requests in, one final answer each out."""
+"""The client protocols, Thrift and TDS: requests in, exactly one final answer for each."""
--- a/aspenrill/fronts/tds.py
+++ b/aspenrill/fronts/tds.py
@@ -1,6 +1,6 @@
 """The TDS front: one request at a time on a connection, cancelled by Attention.
 
-No clock ends a connection: a link may stand still, also within a message or an answer.
+There are no read or write time-outs, as a link may stall at any point, also within a message or an answer.
 """
 
 from __future__ import annotations
@@ -21,17 +21,22 @@
 from ..wire import Malformed, tds
 from ..wire.sql import table_group
 
-MOST_LOGIN = 16 * 1024  # bytes of a message before that
-MOST_STATEMENT = 256 * 1024
-MOST_MESSAGE = 2 * MOST_STATEMENT + 1024
-MOST_HELD = 8 * MOST_MESSAGE  # bytes of messages that have not come whole, over all connections
-REFUSED, FAILED, UNUSABLE, UNKNOWN_LOGIN, UNSUPPORTED = 50001, 50002, 50003, 18456, 50004
-KEY = re.compile(r"/\*\s*key:\s*([!-)+-~]{1,128})\s*\*/")
+MAX_LOGIN = 16 * 1024  # bytes of a message before the login is complete
+MAX_STATEMENT = 256 * 1024  # characters
+MAX_MESSAGE = 2 * MAX_STATEMENT + 1024  # bytes
+MAX_PARTIAL_BYTES = 8 * MAX_MESSAGE  # bytes of incomplete messages, over all connections
+# Error numbers sent to clients.
+ERROR_REFUSED = 50001
+ERROR_FAILED = 50002
+ERROR_UNUSABLE = 50003
+ERROR_LOGIN = 18456  # the number SQL Server uses for a failed login
+ERROR_UNSUPPORTED = 50004
+KEY_COMMENT = re.compile(r"/\*\s*key:\s*([!-)+-~]{1,128})\s*\*/")
 
 
 @dataclass(frozen=True)
 class Mapping:
-    """What a login under an application name stands for. `*` matches any."""
+    """Maps a login and application name to a class, tenant and time-out. `*` matches any."""
 
     user: str
     app: str
@@ -41,13 +46,13 @@
     key: str = "none"  # where the idempotency key comes from: none, comment or batch
 
     def matches(self, login: tds.Login) -> bool:
-        """Whether this is the login's entry; names are compared without case."""
+        """Whether the entry applies to the login; names are compared case-insensitively."""
         return (self.user in ("*", login.user.lower())) and (self.app in ("*", login.app.lower()))
 
     def idempotency(self, login: tds.Login, statement: str) -> str | None:
-        """The key of a statement; ValueError where it has none but needs one."""
+        """Returns the idempotency key of a statement. Raises ValueError if it needs one and has none."""
         if self.key == "comment":
-            found = KEY.search(statement)
+            found = KEY_COMMENT.search(statement)
             if found is None:
                 raise ValueError("no comment of the form /* key: ... */ in the statement")
             return found[1]
@@ -58,20 +63,20 @@
 
 
 class Service:
-    """What the connections of this front share."""
+    """The state shared by all TDS connections."""
 
     def __init__(self, hub: Hub, mappings: Iterable[Mapping], post: Callable[[Any], None], name: str) -> None:
         self.hub, self.mappings, self.post, self.name = hub, tuple(mappings), post, name
         self.writing = 0
-        self.partial_bytes = PartialMessageBytes(MOST_HELD)
+        self.partial_bytes = PartialMessageBytes(MAX_PARTIAL_BYTES)
 
     def serve(self, conn: Connection) -> None:
-        """A connection's task, from PRELOGIN to its end."""
+        """Task body: serves a connection from PRELOGIN to its end."""
         Session(self, conn).run()
 
 
-def answer_tokens(result: Result) -> Iterator[bytes]:
-    """COLMETADATA and rows; rows that came as text become columns of text."""
+def result_tokens(result: Result) -> Iterator[bytes]:
+    """Yields COLMETADATA and row tokens; a result in text form becomes text columns."""
     if result.form == "tds":
         yield from result.tokens
         return
@@ -83,56 +88,58 @@
 
 
 class Session:
-    """One client's connection: this task reads, another writes while an answer is on its way."""
+    """One client connection: one task reads, another one writes an answer."""
 
     def __init__(self, service: Service, conn: Connection) -> None:
         self.service, self.conn = service, conn
         self.login: tds.Login | None = None
         self.mapping: Mapping | None = None
-        self.call: Call | None = None
-        self.busy = False  # an answer is being written
-        self.attention = False  # and is to be cut short
-        self.ending = False  # nothing more is taken
-        self.idle = Signal(service.hub)
+        self.request: Call | None = None
+        self.writing = False  # an answer is being written
+        self.attention = False  # the answer being written has been cancelled
+        self.closing = False  # no further requests are accepted
+        self.write_done = Signal(service.hub)
         conn.partial_bytes = service.partial_bytes
 
     def run(self) -> None:
-        """Read until the client closes; a request that is open then has lost its client."""
+        """Reads messages until the client closes; a request open at that point is abandoned."""
         try:
-            self._open()
+            self._log_in()
             while True:
-                self._message()
+                self._handle_message()
         except Malformed as why:
-            self._see_out()
-            self._end_with(tds.error(UNUSABLE, str(why), 20))
+            self._drain()
+            self._send_error(tds.error(ERROR_UNUSABLE, str(why), 20))
         except Closed as why:
             if self.conn.busy or not self.conn.over:
                 self.conn.end_reason = self.conn.end_reason or str(why)
-            self._see_out()
+            self._drain()
         except Exception:
             self.service.hub.report("a TDS connection", traceback.format_exc())
-            self._see_out()
+            self._drain()
 
-    def _see_out(self) -> None:
-        """Take nothing more. What comes is discarded until what is owed is written, or the client ends: then
-        its request has lost it. The connection is left for its orderly close."""
+    def _drain(self) -> None:
+        """Stops accepting requests; discards input until the open one is answered or the client closes.
+
+        If the client closes, its request is abandoned. The connection is left to its orderly close.
+        """
         conn = self.conn
-        self.ending, conn.mid_message, conn.read_stop_reason = True, False, ""
+        self.closing, conn.mid_message, conn.read_stop_reason = True, False, ""
         try:
-            while (self.call is not None or self.busy) and not conn.over:
+            while (self.request is not None or self.writing) and not conn.over:
                 conn.discard()
-                conn.fill(None)  # the request ends at its deadline
+                conn.fill(None)  # returns at the latest when the request reaches its deadline
                 self.service.hub.give_way()
         except Closed:
             pass
         conn.discard()
-        self._left()
-        while self.busy and conn.open:
-            self.idle.wait(None)  # the writer's own time is bounded
+        self._abandon_request()
+        while self.writing and conn.open:
+            self.write_done.wait(None)  # the writer sets it when it ends
 
-    def _left(self) -> None:
-        """The client has gone, or cancelled: what is open has lost it."""
-        call, self.call = self.call, None
+    def _abandon_request(self) -> None:
+        """Abandons the open request, whose client has gone or cancelled it."""
+        call, self.request = self.request, None
         if call is not None:
             self.conn.busy -= 1
             call.gone = True
@@ -141,8 +148,8 @@
 
     # ---- reading --------------------------------------------------------------------------------------
 
-    def _read(self, most: int = MOST_MESSAGE) -> tuple[int, bytes]:
-        """A whole message. Closed; Malformed where it cannot be one."""
+    def _read_message(self, max_size: int = MAX_MESSAGE) -> tuple[int, bytes]:
+        """Reads a whole message. Raises Closed, or Malformed if it violates the protocol."""
         parts, size, last, kind = [], 0, False, None
         while not last:
             head = tds.packet_head(self.conn.read(tds.HEAD.size, None))
@@ -151,8 +158,8 @@
                 raise Malformed("a message of two types")
             kind = head[0]
             size += head[2]
-            if size > most:
-                raise Malformed(f"message of over {most} bytes")
+            if size > max_size:
+                raise Malformed(f"message of over {max_size} bytes")
             parts.append(self.conn.read(head[2], None))
             last = bool(head[1] & tds.END_OF_MESSAGE)
             if last and head[1] & tds.IGNORE:
@@ -160,65 +167,68 @@
         self.conn.mid_message = False
         return kind, b"".join(parts)
 
-    def _open(self) -> None:
-        kind, body = self._read(MOST_LOGIN)
+    def _log_in(self) -> None:
+        kind, body = self._read_message(MAX_LOGIN)
         if kind == tds.PRELOGIN:
             tds.read_prelogin(body)
             self.conn.write(tds.packets(tds.REPLY, tds.prelogin()), None)
-            kind, body = self._read(MOST_LOGIN)
+            kind, body = self._read_message(MAX_LOGIN)
         if kind != tds.LOGIN7:
             raise Malformed("no login")
         login = tds.read_login7(body)
         mapping = next((m for m in self.service.mappings if m.matches(login)), None)
         if mapping is None:
             text = f"login {login.user!r} with application {login.app!r} is not known here"
-            self._end_with(tds.error(UNKNOWN_LOGIN, text, 14))
+            self._send_error(tds.error(ERROR_LOGIN, text, 14))
             raise Closed("login refused")
         self.login, self.mapping = login, mapping
         self.conn.spoke, self.conn.last_used_at = True, time.monotonic()
         self.conn.write(tds.packets(tds.REPLY, tds.login_answer(login, self.service.name)), None)
 
-    def _message(self) -> None:
+    def _handle_message(self) -> None:
         if self.conn.draining:
             self.conn.close_if_idle()
-        kind, body = self._read()
+        kind, body = self._read_message()
         self.conn.last_used_at = arrived = time.monotonic()
         if kind == tds.ATTENTION:
-            self._attend()
+            self._handle_attention()
         elif kind == 0:
             pass
-        elif self.call is not None or self.busy:
+        elif self.request is not None or self.writing:
             raise Malformed("a request while another is open")
         elif kind == tds.SQL_BATCH:
-            self._batch(tds.read_sql_batch(body), arrived)
+            self._handle_batch(tds.read_sql_batch(body), arrived)
         else:
-            self._say(
-                [tds.error(UNSUPPORTED, f"messages of type {kind} are not taken here"), tds.done(tds.BAD)]
+            self._start_answer(
+                [
+                    tds.error(ERROR_UNSUPPORTED, f"messages of type {kind} are not taken here"),
+                    tds.done(tds.BAD),
+                ]
             )
 
-    def _attend(self) -> None:
-        """Cancel: what is open loses its client, what is being written ends early; one acknowledgement."""
-        self._left()
-        if self.busy:
-            self.attention = True  # the writer ends its message with the acknowledgement
-            self.idle.wait(None)
+    def _handle_attention(self) -> None:
+        """Handles Attention: abandons the open request or cuts its answer short, and acknowledges once."""
+        self._abandon_request()
+        if self.writing:
+            self.attention = True  # the writer will end its message with the acknowledgement
+            self.write_done.wait(None)
         else:
-            self._say([tds.done(tds.ACKNOWLEDGED)])
+            self._start_answer([tds.done(tds.ACKNOWLEDGED)])
 
-    def _batch(self, statement: str, arrived: float) -> None:
+    def _handle_batch(self, statement: str, arrived: float) -> None:
         mapping = self.mapping
         try:
             if not statement.strip():
                 raise ValueError("no statement")
-            if len(statement) > MOST_STATEMENT:
-                raise ValueError(f"a statement of over {MOST_STATEMENT} characters")
+            if len(statement) > MAX_STATEMENT:
+                raise ValueError(f"a statement of over {MAX_STATEMENT} characters")
             key = mapping.idempotency(self.login, statement)
         except ValueError as why:
-            self._say([tds.error(UNUSABLE, str(why)), tds.done(tds.BAD)])
+            self._start_answer([tds.error(ERROR_UNUSABLE, str(why)), tds.done(tds.BAD)])
             return
         spent = max(self.service.hub.lag(), arrived - self.conn.received_after)
-        patience = max(0.0, mapping.timeout - spent)
-        self.call = Call(
+        time_budget = max(0.0, mapping.timeout - spent)
+        self.request = Call(
             os.urandom(8).hex(),
             mapping.cls,
             mapping.tenant,
@@ -226,46 +236,50 @@
             key,
             table_group(statement),
             arrived,
-            patience,
+            time_budget,
             self._answer,
         )
         self.conn.busy += 1
         self.conn.requests += 1
-        self.service.post(Asked(self.call))
+        self.service.post(Asked(self.request))
 
     # ---- writing --------------------------------------------------------------------------------------
 
     def _answer(self, call: Call, final: Final) -> None:
-        if self.call is not call:
-            return  # cancelled, and acknowledged
-        self.call = None
+        if self.request is not call:
+            return  # cancelled and acknowledged already
+        self.request = None
         self.conn.busy -= 1
         match final:
             case Served(result):
                 try:
-                    tokens = list(answer_tokens(result))
+                    tokens = list(result_tokens(result))
                 except (Malformed, UnicodeDecodeError):
-                    self._say([tds.error(FAILED, "the result does not fit"), tds.done(tds.BAD)])
+                    self._start_answer(
+                        [tds.error(ERROR_FAILED, "the result does not fit"), tds.done(tds.BAD)]
+                    )
                     return
                 rows = result.rows if result.form == "tds" else len(tokens) - 1
-                self._say([*tokens, tds.done(rows=rows)])
-            case Refused(come_back):
-                later = f"; come back in {round(come_back * 1000)} ms" if come_back > 0 else ""
-                self._say([tds.error(REFUSED, f"refused, another try is harmless{later}"), tds.done(tds.BAD)])
+                self._start_answer([*tokens, tds.done(rows=rows)])
+            case Refused(retry_after):
+                later = f"; come back in {round(retry_after * 1000)} ms" if retry_after > 0 else ""
+                self._start_answer(
+                    [tds.error(ERROR_REFUSED, f"refused, another try is harmless{later}"), tds.done(tds.BAD)]
+                )
             case Failed(reason):
                 text = "failed, and may have run" + (f": {reason}" if reason else "")
-                self._say([tds.error(FAILED, text), tds.done(tds.BAD)])
+                self._start_answer([tds.error(ERROR_FAILED, text), tds.done(tds.BAD)])
 
-    def _say(self, tokens: list[bytes]) -> None:
-        """Hand a message to a writer. Requests come one at a time, so there is one writer at most."""
-        self.busy = True
+    def _start_answer(self, tokens: list[bytes]) -> None:
+        """Starts a task that writes a message. As requests come one at a time, there is at most one."""
+        self.writing = True
         self.conn.busy += 1
         self.service.writing += 1
-        self.service.hub.spawn(self._write, tokens, name="tds writer")
+        self.service.hub.spawn(self._write_answer, tokens, name="tds writer")
 
-    def _write(self, tokens: list[bytes]) -> None:
-        """Packet by packet as the client takes them; an Attention ends it behind a whole token."""
-        room, held, number = self.login.packet - tds.HEAD.size, bytearray(), 0
+    def _write_answer(self, tokens: list[bytes]) -> None:
+        """Writes the message packet by packet; after an Attention it ends behind a complete token."""
+        capacity, buffer, number = self.login.packet - tds.HEAD.size, bytearray(), 0
 
         def send(data: bytes, last: bool) -> None:
             nonlocal number
@@ -280,37 +294,37 @@
             for token in tokens:
                 if self.attention:
                     break
-                held += token
-                while len(held) > room:
-                    send(bytes(held[:room]), False)
-                    del held[:room]
+                buffer += token
+                while len(buffer) > capacity:
+                    send(bytes(buffer[:capacity]), False)
+                    del buffer[:capacity]
             if self.attention:
-                held += tds.done(tds.ACKNOWLEDGED)
-                while len(held) > room:
-                    send(bytes(held[:room]), False)
-                    del held[:room]
-            send(bytes(held), True)
-            late = self.attention and not bytes(held).endswith(tds.done(tds.ACKNOWLEDGED))
-            if late:  # it came while the last packet went out
+                buffer += tds.done(tds.ACKNOWLEDGED)
+                while len(buffer) > capacity:
+                    send(bytes(buffer[:capacity]), False)
+                    del buffer[:capacity]
+            send(bytes(buffer), True)
+            acknowledgement_due = self.attention and not bytes(buffer).endswith(tds.done(tds.ACKNOWLEDGED))
+            if acknowledgement_due:  # the Attention arrived while the last packet was sent
                 send(tds.done(tds.ACKNOWLEDGED), True)
         except Closed:
             self.conn.over = True
-            self.conn.close()  # the client can tell that the answer is not whole
-            self._left()
+            self.conn.close()  # shows the client that the answer is incomplete
+            self._abandon_request()
         finally:
-            self.busy = self.attention = False
+            self.writing = self.attention = False
             self.conn.write_started_at = 0.0
             self.conn.busy -= 1
             self.conn.last_used_at = time.monotonic()
             self.service.writing -= 1
-            self.idle.set()
-            if self.ending:
+            self.write_done.set()
+            if self.closing:
                 self.service.hub.end_wait(self.conn.fd, READ, Closed("all is written"))
             elif self.conn.draining:
                 self.conn.close_if_idle()
 
-    def _end_with(self, token: bytes) -> None:
-        """A last word, if the client takes it at once."""
+    def _send_error(self, token: bytes) -> None:
+        """Sends a final error if it can be sent at once."""
         try:
             self.conn.try_write(tds.packets(tds.REPLY, token + tds.done(tds.BAD)))
         except Closed:
--- a/aspenrill/fronts/thrift.py
+++ b/aspenrill/fronts/thrift.py
@@ -1,8 +1,8 @@
-"""The platform's front: framed Thrift, up to 32 open requests a connection.
+"""The Thrift front: framed Thrift with up to 32 open requests on a connection.
 
-No clock ends a connection, and nothing that was sent whole is discarded: a link may stand still for as long
-as it likes, and each message that comes gets its answer. What ends a connection: its client, bytes that are
-no messages, a shutdown, or another's need for its place.
+There are no read or write time-outs and no complete message is discarded: a link may stall for any time,
+and each message gets its answer. A connection is closed by its client, after malformed input, at shutdown,
+or when it is evicted in favour of another.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from .thrift_answers import AnswerWriter, UnreadBytes
 from .thrift_requests import RequestReader
 
-MOST_FRAME = 64 * 1024
-MOST_HELD = 1024 * 1024  # bytes of messages that have not come whole, over all connections
-MOST_OPEN = 32  # requests open on a connection, as the protocol has it
-MOST_QUEUED = 4 * MOST_OPEN  # answers that a client does not take, beyond which it is not read
-READER_PAUSE = 0.05  # seconds between two looks whether it takes them
-AWAY = {"holdoff": "1000"}  # milliseconds that a client with more open than that should stay away
-MOST_BAD = 16  # messages that cannot be used, after which a connection is to end
-MOST_MALFORMED = 16  # that cannot even be answered, after which what comes counts as no messages
-TURN = 8  # messages of one client taken at a time, if so many lie there
-BEHIND = 0.02  # seconds that what is ready may wait, so that the 4 turns of 32 messages stay under 0.1
-FORGET = b"\x80\1\0\4\0\0\0\x06forget"  # how such a message begins
+MAX_FRAME = 64 * 1024  # bytes
+MAX_PARTIAL_BYTES = 1024 * 1024  # bytes of incomplete messages, over all connections
+MAX_OPEN = 32  # open requests on a connection, by the protocol
+MAX_QUEUED = 4 * MAX_OPEN  # unsent answers above which a client is no longer read
+READER_CHECK_INTERVAL = 0.05  # seconds between two checks whether it reads them
+TOO_MANY_OPEN = {"holdoff": "1000"}  # milliseconds that a client above that limit should wait
+MAX_BAD = 16  # unusable messages after which a connection is closed
+MAX_MALFORMED = 16  # messages that cannot even be answered after which the connection is closed
+MESSAGES_PER_TURN = 8  # messages of one client handled before other tasks run
+MAX_UNCHECKED_LAG = 0.02  # seconds of event loop lag up to which the 4 turns of 32 messages stay below 0.1
+FORGET_PREFIX = b"\x80\1\0\4\0\0\0\x06forget"  # the beginning of a `forget` message
 
 
-class ClientGone(Closed):
-    """The client has ended its side, behind bytes that nobody has read."""
+class ClientClosed(Closed):
+    """The client has closed its side, possibly after data that is still unread."""
 
 
 class Service:
-    """What the connections of this front share."""
+    """The state shared by all Thrift connections."""
 
     def __init__(
         self,
@@ -47,162 +47,167 @@
         keyed: list[bool],
         tenants: list[str],
         post: Callable[[Any], None],
-        well: Callable[[], bool],
+        is_well: Callable[[], bool],
         shed_after: tuple[float, ...] | None = None,
-        come_back: float = 0.0,
+        retry_after: float = 0.0,
     ) -> None:
-        self.shed_after = shed_after  # by class: how far behind the module takes no more of it
-        self.shed_least = min(shed_after, default=0.0) if shed_after else float("inf")
-        self.shed = {"holdoff": str(round(come_back * 1000))} if come_back > 0 else {}
-        self.hub, self.post, self.well = hub, post, well
+        self.shed_after = shed_after  # seconds of event loop lag, by class, above which the policy refuses it
+        self.min_shed_after = min(shed_after, default=0.0) if shed_after else float("inf")
+        self.shed_hint = {"holdoff": str(round(retry_after * 1000))} if retry_after > 0 else {}
+        self.hub, self.post, self.is_well = hub, post, is_well
         self.reader = RequestReader(classes, keyed, tenants)
-        self.partial_bytes = PartialMessageBytes(MOST_HELD)
+        self.partial_bytes = PartialMessageBytes(MAX_PARTIAL_BYTES)
         self.unread = UnreadBytes()
 
     def serve(self, conn: Connection) -> None:
-        """A connection's task, from its first frame to its end."""
+        """Task body: serves a connection from its first frame to its end."""
         Session(self, conn).run()
 
 
 class Session:
-    """One client's connection: a task that reads, and a writer with its own where the client is slow."""
+    """One client connection: a reading task, and a writer with a task of its own if the client is slow."""
 
     def __init__(self, service: Service, conn: Connection) -> None:
         self.service, self.conn = service, conn
         self.writer = AnswerWriter(service.hub, conn, service.unread)
-        self.open: dict[int, Call] = {}
-        self.bad = self.malformed = 0  # messages that could not be used, or not even be answered
-        self.refusing = False  # to end: what still comes is answered at once, and not taken
-        self.last = 0  # sequence number of the last call: they start at 1 and count up
-        self.unseen = False  # something was read that nobody has looked through
-        self.forgotten: set[int] = set()  # numbers of calls behind which a `forget` lies that has been read
+        self.open_requests: dict[int, Call] = {}
+        self.bad_count = self.malformed_count = 0  # messages that are unusable, that cannot be answered
+        self.refusing = False  # disconnecting: further calls are refused at once
+        self.last_seqid = 0  # sequence number of the last call; they start at 1 and count up
+        self.unscanned = False  # input was read that has not been scanned for `forget`
+        self.forgotten: set[int] = set()  # calls cancelled by a `forget` that was found before their turn
         conn.partial_bytes = service.partial_bytes
 
     def run(self) -> None:
-        """Read until the client ends, or what comes is no messages; what was taken gets its answer before the
-        end. The connection is left for its orderly close."""
+        """Reads messages until the client closes or sends malformed input; then answers the open requests.
+
+        The connection is left to its orderly close.
+        """
         try:
-            self._take_all()
+            self._read_messages()
         except Closed as why:
-            self._note_end(str(why))
-            if self.conn.over or isinstance(why, ClientGone):
-                self._answer_gone()
+            self._set_end_reason(str(why))
+            if self.conn.over or isinstance(why, ClientClosed):
+                self._fail_open_requests()
         except Exception:
             self.service.hub.report("a thrift connection", traceback.format_exc())
-        self._see_out()
+        self._drain()
 
-    def _note_end(self, reason: str) -> None:
-        """For the log, unless it is the ordinary one: a client that ends with nothing open."""
+    def _set_end_reason(self, reason: str) -> None:
+        """Sets the reason for the log, unless the client simply closed with nothing open."""
         if self.conn.busy or not self.conn.over:
             self.conn.end_reason = self.conn.end_reason or reason
 
     # ---- reading --------------------------------------------------------------------------------------
 
-    def _take_all(self) -> None:
+    def _read_messages(self) -> None:
         conn, hub, taken = self.conn, self.service.hub, 0
         while True:
-            if self.writer.queued > MOST_QUEUED:
-                self._await_reader()
+            if self.writer.queued > MAX_QUEUED:
+                self._wait_for_client()
             taken = taken + 1 if len(conn.incoming) else 0
-            if taken >= TURN:
-                taken, self.unseen = 0, True
-                hub.give_way()  # one client's flood is not to starve the others
-            if self.unseen and len(conn.incoming):
-                self._look_ahead()
-            self._frame()
+            if taken >= MESSAGES_PER_TURN:
+                taken, self.unscanned = 0, True
+                hub.give_way()  # constant input from one client must not starve the others
+            if self.unscanned and len(conn.incoming):
+                self._scan_buffered()
+            self._read_message()
             conn.spoke = True
 
-    def _await_reader(self) -> None:
-        """More lies unread than the protocol lets a client have open: what it sends can wait."""
-        while self.writer.queued > MOST_QUEUED:
-            self.service.hub.sleep(READER_PAUSE)
-            self._check_there()
+    def _wait_for_client(self) -> None:
+        """Pauses reading while more answers are unsent than the protocol allows open requests."""
+        while self.writer.queued > MAX_QUEUED:
+            self.service.hub.sleep(READER_CHECK_INTERVAL)
+            self._check_client()
 
-    def _check_there(self) -> None:
-        """Closed where the client has ended, also behind bytes that nobody has read."""
+    def _check_client(self) -> None:
+        """Raises Closed if the client has closed, even if unread data precedes the end."""
         if not self.conn.open:
             raise Closed("closed here")
         if self.conn.hung_up():
-            raise ClientGone("the client has gone")
-
-    def _look_ahead(self) -> None:
-        """Before messages are taken behind others: whether their client still waits. Its end, or a `forget`,
-        may lie behind much else, and nothing may begin later than 0.1 s after it. The system is asked where
-        it may hold more, or where the turns of 32 messages may take that long."""
-        self.unseen, conn = False, self.conn
-        if not conn.wait_before_read or self.service.hub.lag() > BEHIND:
-            self._check_there()
+            raise ClientClosed("the client has gone")
+
+    def _scan_buffered(self) -> None:
+        """Checks, before buffered messages are handled, whether their client still wants an answer.
+
+        Its close or a `forget` may be queued behind many other messages, and nothing may be started more than
+        0.1 s after it. The kernel is asked if it may hold more input, or if handling 32 messages may take
+        that long.
+        """
+        self.unscanned, conn = False, self.conn
+        if not conn.wait_before_read or self.service.hub.lag() > MAX_UNCHECKED_LAG:
+            self._check_client()
         inbox = conn.incoming
-        if inbox.find(FORGET) < 0:
+        if inbox.find(FORGET_PREFIX) < 0:
             return
         data, at = inbox.peek(len(inbox)), 0
         while at + 4 <= len(data):
             start, at = at + 4, at + 4 + int.from_bytes(data[at : at + 4], "big")
-            if start < at <= len(data) and data.startswith(FORGET, start):
+            if start < at <= len(data) and data.startswith(FORGET_PREFIX, start):
                 try:
                     self._forget((thrift.read_message(data[start:at]).args or {}).get(1), ahead=True)
                 except Malformed:
-                    return  # taken as such in its turn
+                    return  # handled when its turn comes
 
-    def _frame(self) -> None:
+    def _read_message(self) -> None:
         conn = self.conn
         if not len(conn.incoming):
             if conn.draining:
                 conn.close_if_idle()
             conn.fill(None)
-            self.unseen = True
+            self.unscanned = True
         conn.mid_message = True
-        data, start, end = conn.frame(MOST_FRAME, None)
+        data, start, end = conn.frame(MAX_FRAME, None)
         conn.mid_message = False
         if not start:
-            self.unseen = True  # it did not come whole: more was read with its rest
+            self.unscanned = True  # it arrived in pieces, and more was read with the last one
         conn.last_used_at = arrived = time.monotonic()
         try:
-            self._message(data, start, end, arrived)
+            self._handle_message(data, start, end, arrived)
         except Closed:
             raise
         except Exception:
             self.service.hub.report("a thrift message", traceback.format_exc())
-            self._answer_fault(data[start:end])
+            self._answer_internal_error(data[start:end])
 
-    def _message(self, data: bytes, start: int, end: int, arrived: float) -> None:
+    def _handle_message(self, data: bytes, start: int, end: int, arrived: float) -> None:
         if self.refusing:
             self._refuse(data[start:end])
             return
-        usual = thrift.read_serve(data, start, end)
-        if usual is not None and usual[0] == self.last + 1 and len(self.open) < MOST_OPEN:
-            self.last = usual[0]
-            if self._behind(usual[1]):
-                self.writer.say(usual[0], thrift.thrown("serve", usual[0], 1, self.service.shed))
+        fast = thrift.read_serve(data, start, end)
+        if fast is not None and fast[0] == self.last_seqid + 1 and len(self.open_requests) < MAX_OPEN:
+            self.last_seqid = fast[0]
+            if self._sheds(fast[1]):
+                self.writer.send(fast[0], thrift.thrown("serve", fast[0], 1, self.service.shed_hint))
                 return
-            self._serve(usual[0], usual[1], usual[2], arrived)
+            self._start_request(fast[0], fast[1], fast[2], arrived)
             return
         try:
             message = thrift.read_message(data[start:end])
         except Malformed:
             self._count_malformed()
             return
-        self._take(message, arrived)
+        self._dispatch(message, arrived)
 
     def _count_bad(self) -> None:
-        self.bad += 1
-        if self.bad >= MOST_BAD:
-            self._give_up_client()
+        self.bad_count += 1
+        if self.bad_count >= MAX_BAD:
+            self._disconnect_client()
 
     def _count_malformed(self) -> None:
-        """It has no number to be answered by. The frames are sound: what lies behind it may be a request."""
-        self._give_up_client()
-        self.malformed += 1
-        if self.malformed > MOST_MALFORMED:
+        """Counts a message without a sequence number. The framing is intact, so a request may follow."""
+        self._disconnect_client()
+        self.malformed_count += 1
+        if self.malformed_count > MAX_MALFORMED:
             raise Closed("messages that cannot be read")
 
-    def _give_up_client(self) -> None:
-        """Its connection ends behind the last answer, once nothing lies unread."""
+    def _disconnect_client(self) -> None:
+        """Closes the connection after the last answer, as soon as nothing is unread."""
         self.refusing = self.conn.draining = True
         self.conn.end_reason = self.conn.end_reason or "messages that cannot be used"
 
     def _refuse(self, frame: bytes) -> None:
-        """A message of a client that is given up: a `forget` counts, each call is answered at once."""
+        """Handles a message of a client being disconnected: each call is refused, a `forget` is obeyed."""
         try:
             message = thrift.read_message(frame)
         except Malformed:
@@ -211,113 +216,115 @@
         if message.kind == thrift.ONEWAY and message.name == "forget":
             self._forget((message.args or {}).get(1))
         elif message.kind == thrift.CALL and message.name == "serve":
-            self.writer.say(message.seqid, thrift.thrown("serve", message.seqid, 1, AWAY))
+            self.writer.send(message.seqid, thrift.thrown("serve", message.seqid, 1, TOO_MANY_OPEN))
         elif message.kind != thrift.ONEWAY:
-            self._break(message, thrift.PROTOCOL, "too many messages that cannot be used")
+            self._answer_exception(message, thrift.PROTOCOL, "too many messages that cannot be used")
 
-    def _answer_fault(self, frame: bytes) -> None:
-        """An error of ours in a message costs that one alone."""
+    def _answer_internal_error(self, frame: bytes) -> None:
+        """Answers a message that met an internal error; the connection goes on."""
         try:
             message = thrift.read_message(frame)
         except Malformed:
             return
-        if message.kind == thrift.CALL and message.seqid not in self.open:
-            self.last = max(self.last, message.seqid)
-            self._break(message, thrift.INTERNAL, "internal error")
+        if message.kind == thrift.CALL and message.seqid not in self.open_requests:
+            self.last_seqid = max(self.last_seqid, message.seqid)
+            self._answer_exception(message, thrift.INTERNAL, "internal error")
 
-    def _behind(self, fields: dict[bytes, bytes]) -> bool:
-        """Whether the module would refuse it, as far behind as this program is: told before it costs more."""
+    def _sheds(self, fields: dict[bytes, bytes]) -> bool:
+        """Whether the policy would refuse the class at this event loop lag; cheaper than asking it."""
         service = self.service
         lag = service.hub.lag()
-        if lag <= service.shed_least:
+        if lag <= service.min_shed_after:
             return False
         cls = service.reader.class_of.get(fields.get(b"kind", b""))
         return cls is not None and lag > service.shed_after[cls]
 
-    def _take(self, message: thrift.Message, arrived: float) -> None:
+    def _dispatch(self, message: thrift.Message, arrived: float) -> None:
         name, seqid, args = message.name, message.seqid, message.args
         if message.kind == thrift.ONEWAY and name == "forget":
             self._forget((args or {}).get(1))
         elif message.kind != thrift.CALL:
             self._count_bad()
             if message.kind != thrift.ONEWAY:
-                self._break(message, thrift.PROTOCOL, "not a call")
-        elif seqid != self.last + 1:
+                self._answer_exception(message, thrift.PROTOCOL, "not a call")
+        elif seqid != self.last_seqid + 1:
             self._count_bad()
-            self._break(message, thrift.BAD_SEQUENCE, f"{self.last + 1} is next")
+            self._answer_exception(message, thrift.BAD_SEQUENCE, f"{self.last_seqid + 1} is next")
         else:
-            self.last = seqid
-            self._called(message, args, arrived)
+            self.last_seqid = seqid
+            self._handle_call(message, args, arrived)
 
-    def _called(self, message: thrift.Message, args: dict[int, Any] | None, arrived: float) -> None:
+    def _handle_call(self, message: thrift.Message, args: dict[int, Any] | None, arrived: float) -> None:
         name, seqid = message.name, message.seqid
         if args is None:
             self._count_bad()
-            self._break(message, thrift.PROTOCOL, "arguments cannot be read")
+            self._answer_exception(message, thrift.PROTOCOL, "arguments cannot be read")
         elif name == "isWell":
-            self.writer.say(seqid, thrift.answer(name, seqid, b"", {}, self.service.well()))
+            self.writer.send(seqid, thrift.answer(name, seqid, b"", {}, self.service.is_well()))
         elif name != "serve":
             self._count_bad()
-            self._break(message, thrift.UNKNOWN_METHOD, "no such method")
-        elif len(self.open) >= MOST_OPEN:
+            self._answer_exception(message, thrift.UNKNOWN_METHOD, "no such method")
+        elif len(self.open_requests) >= MAX_OPEN:
             self._count_bad()
-            self.writer.say(seqid, thrift.thrown(name, seqid, 1, AWAY))
+            self.writer.send(seqid, thrift.thrown(name, seqid, 1, TOO_MANY_OPEN))
         else:
-            self._serve(seqid, _texts(args.get(1)), args.get(2), arrived)
+            self._start_request(seqid, _string_map(args.get(1)), args.get(2), arrived)
 
-    def _break(self, message: thrift.Message, kind: int, text: str) -> None:
-        """Answer it by an application exception."""
-        self.writer.say(message.seqid, thrift.broken(message.name, message.seqid, kind, text))
+    def _answer_exception(self, message: thrift.Message, kind: int, text: str) -> None:
+        """Answers a message with an application exception."""
+        self.writer.send(message.seqid, thrift.broken(message.name, message.seqid, kind, text))
 
     # ---- requests -------------------------------------------------------------------------------------
 
-    def _serve(self, seqid: int, fields: dict[bytes, bytes] | None, statement: Any, arrived: float) -> None:
+    def _start_request(
+        self, seqid: int, fields: dict[bytes, bytes] | None, statement: Any, arrived: float
+    ) -> None:
         if seqid in self.forgotten:
             return
-        lag, lay = self.service.hub.lag(), arrived - self.conn.received_after
-        spent = lag if lag > lay else lay
+        lag, unread_for = self.service.hub.lag(), arrived - self.conn.received_after
+        spent = lag if lag > unread_for else unread_for
         try:
             call = self.service.reader.read(fields, statement, arrived, spent, self._answer, seqid)
         except ValueError as why:
             self._count_bad()
-            self.writer.say(seqid, thrift.thrown("serve", seqid, 2, {"reason": str(why)}))
+            self.writer.send(seqid, thrift.thrown("serve", seqid, 2, {"reason": str(why)}))
             return
-        self.open[seqid] = call
+        self.open_requests[seqid] = call
         self.conn.busy += 1
         self.conn.requests += 1
         self.service.post(Asked(call))
 
     def _answer(self, call: Call, final: Final) -> None:
         seqid = call.tag
-        if self.open.get(seqid) is not call:
+        if self.open_requests.get(seqid) is not call:
             return
-        del self.open[seqid]
+        del self.open_requests[seqid]
         self.conn.busy -= 1
         self.conn.last_used_at = time.monotonic()
         match final:
             case Served(result) if result.form != "text":
-                self._fail(seqid, "the result is not text")
+                self._answer_failed(seqid, "the result is not text")
             case Served(result):
-                self.writer.say(seqid, *thrift.answer_parts(seqid, result.pages))
-            case Refused(come_back):
-                hint = {"holdoff": str(round(come_back * 1000))} if come_back > 0 else {}
-                self.writer.say(seqid, thrift.thrown("serve", seqid, 1, hint))
+                self.writer.send(seqid, *thrift.answer_parts(seqid, result.pages))
+            case Refused(retry_after):
+                hint = {"holdoff": str(round(retry_after * 1000))} if retry_after > 0 else {}
+                self.writer.send(seqid, thrift.thrown("serve", seqid, 1, hint))
             case Failed(reason):
-                self._fail(seqid, reason)
+                self._answer_failed(seqid, reason)
 
-    def _fail(self, seqid: int, reason: str) -> None:
-        self.writer.say(seqid, thrift.thrown("serve", seqid, 2, {"reason": reason} if reason else {}))
+    def _answer_failed(self, seqid: int, reason: str) -> None:
+        self.writer.send(seqid, thrift.thrown("serve", seqid, 2, {"reason": reason} if reason else {}))
 
     def _forget(self, number: Any, ahead: bool = False) -> None:
-        """A call that its client gives up: it may be none that is open, and one whose frame lies `ahead`."""
+        """Cancels a call. It need not be open; `ahead`: its frame may not have been handled yet."""
         if not isinstance(number, int):
             return
-        call = self.open.pop(number, None)
+        call = self.open_requests.pop(number, None)
         if call is not None:
             self.conn.busy -= 1
             call.gone = True
             self.service.post(Left(call))
-        elif ahead and number > self.last:
+        elif ahead and number > self.last_seqid:
             self.forgotten.add(number)
         else:
             self.forgotten.discard(number)
@@ -325,42 +332,47 @@
 
     # ---- the end --------------------------------------------------------------------------------------
 
-    def _see_out(self) -> None:
-        """Take nothing more: what comes cannot be read as messages, or the client has gone. It is discarded
-        until all owed is written, or the client ends."""
+    def _drain(self) -> None:
+        """Discards input until all open requests are answered or the client closes.
+
+        Called when the input is malformed or the client has gone.
+        """
         conn, hub = self.conn, self.service.hub
-        conn.draining, conn.mid_message, conn.read_stop_reason = True, False, ""  # its last answer ends it
+        # `draining` closes the connection after its last answer.
+        conn.draining, conn.mid_message, conn.read_stop_reason = True, False, ""
         try:
             while conn.busy and not conn.over:
                 conn.discard()
-                conn.fill(None)  # each request that is open ends at its deadline
+                conn.fill(None)  # returns at the latest when the requests reach their deadlines
                 hub.give_way()
         except Closed:
             pass
         conn.discard()
-        self._leave()
-        self.writer.flush()  # what has been answered goes out before the end
+        self._abandon_requests()
+        self.writer.flush()  # finished answers are sent before the close
         self.writer.wait()
 
-    def _answer_gone(self) -> None:
-        """The client has ended its side. One that has closed reads nothing more, but one that has only shut
-        its write side may: each request that is open gets an answer, and is given up."""
-        for seqid in self.open:
-            self._fail(seqid, "the client has ended its side")
-        self._leave()
-
-    def _leave(self) -> None:
-        """The client has gone: what is open has lost it."""
-        self.conn.busy -= len(self.open)
-        for call in self.open.values():
+    def _fail_open_requests(self) -> None:
+        """Answers and abandons all open requests after the client has closed its side.
+
+        A client that only shut down its write side still reads the answers.
+        """
+        for seqid in self.open_requests:
+            self._answer_failed(seqid, "the client has ended its side")
+        self._abandon_requests()
+
+    def _abandon_requests(self) -> None:
+        """Abandons all open requests, whose client has gone."""
+        self.conn.busy -= len(self.open_requests)
+        for call in self.open_requests.values():
             call.gone = True
             self.conn.unanswered.append(call.id)
             self.service.post(Left(call))
-        self.open.clear()
+        self.open_requests.clear()
 
 
-def _texts(fields: Any) -> dict[bytes, bytes] | None:
-    """The entries of a map that are texts; None where it is no map."""
+def _string_map(fields: Any) -> dict[bytes, bytes] | None:
+    """Returns the string entries of a map, None if the value is not a map."""
     if not isinstance(fields, dict):
         return None
     return {
--- a/aspenrill/fronts/thrift_answers.py
+++ b/aspenrill/fronts/thrift_answers.py
@@ -1,4 +1,4 @@
-"""Answers on their way to one Thrift client, at the pace at which it takes them."""
+"""Writes answers to one Thrift client as fast as it reads them."""
 
 from __future__ import annotations
 
@@ -9,61 +9,62 @@
 from ..net.hub import Closed, Hub, Signal
 from ..wire import thrift
 
-MOST_UNREAD = 8 * 1024 * 1024  # bytes of answers that clients of one front have not taken
-SMALL = 512  # bytes of an answer that is queued at any load
-NOT_READ = {"reason": "answers are not read"}
-BEGUN = -1  # in place of a call's number: a part of it has gone out, so the rest has to
+MAX_UNREAD = 8 * 1024 * 1024  # bytes of unsent answers, over all connections
+ALWAYS_QUEUED_SIZE = 512  # bytes; smaller answers are queued regardless of the limit
+UNREAD_FIELDS = {"reason": "answers are not read"}
+PARTLY_SENT = -1  # in place of a sequence number: partly sent, so the rest must follow
 
 
 class UnreadBytes:
-    """Bytes of answers that wait, over all connections of a front."""
+    """Counts the bytes of unsent answers, over all connections of a front."""
 
-    def __init__(self, most: int = MOST_UNREAD) -> None:
-        self.most, self.total = most, 0
-        self.writing = 0  # connections with answers on their way
+    def __init__(self, max_total: int = MAX_UNREAD) -> None:
+        self.max_total, self.total = max_total, 0
+        self.writing = 0  # connections with a writer task
 
     def fits(self, count: int) -> bool:
-        """Whether so many more may wait."""
-        return count <= SMALL or self.total + count <= self.most
+        """Whether `count` more bytes fit within the limit."""
+        return count <= ALWAYS_QUEUED_SIZE or self.total + count <= self.max_total
 
 
 class AnswerWriter:
-    """Whole messages in the order in which they were said. What is said before the next look at descriptors
-    goes out in one write; a task exists only while something of it is left. No clock ends it: a client on a
-    slow link takes its time, and what waits is bounded.
+    """Writes whole messages in order. Messages of one event loop round are sent with one call.
+
+    A writer task exists only while unsent data remains. It has no time-out, as a client on a slow link may
+    take long; the queue is bounded instead.
     """
 
     def __init__(self, hub: Hub, conn: Connection, unread: UnreadBytes) -> None:
         self.hub, self.conn, self.unread = hub, conn, unread
-        self._parts: list[bytes] = []  # of messages that go out together
-        self._queue: deque[tuple[int, bytes]] = deque()  # messages that the client did not take at once
-        self.busy = False
+        self._parts: list[bytes] = []  # messages to be sent together
+        self._queue: deque[tuple[int, bytes]] = deque()  # unsent messages
+        self.writing = False
         self._done: Signal | None = None
 
     @property
     def queued(self) -> int:
-        """Messages that the client has not taken."""
+        """The number of unsent messages."""
         return len(self._queue)
 
-    def say(self, number: int, *parts: bytes) -> None:
-        """Pass on a message that answers the call of this number."""
-        if self.busy:
-            self._wait_in_line(number, b"".join(parts))
+    def send(self, seqid: int, *parts: bytes) -> None:
+        """Queues the message that answers a call."""
+        if self.writing:
+            self._enqueue(seqid, b"".join(parts))
             return
         if not self._parts:
-            self.conn.busy += 1  # it must not give way to another before this has gone out
+            self.conn.busy += 1  # not to be evicted before this is sent
             self.hub.call_before_poll(self.flush)
         self._parts += parts
 
-    def forget(self, number: int) -> None:
-        """The client does not want that answer any more: it is dropped if nothing of it has gone out."""
-        kept = deque(each for each in self._queue if each[0] != number)
+    def forget(self, seqid: int) -> None:
+        """Drops a queued answer that the client has cancelled, unless it is partly sent."""
+        kept = deque(each for each in self._queue if each[0] != seqid)
         if len(kept) < len(self._queue):
-            self.unread.total += sum(len(data) for _, data in kept) - self._bytes()
+            self.unread.total += sum(len(data) for _, data in kept) - self._queued_bytes()
             self._queue = kept
 
     def flush(self) -> None:
-        """Pass on what has been said since the last look."""
+        """Sends the messages queued since the last flush."""
         parts, self._parts = self._parts, []
         if not parts:
             return
@@ -71,42 +72,42 @@
         if not self.conn.open:
             return
         try:
-            rest = self.conn.try_write_parts(parts)
+            unsent = self.conn.try_write_parts(parts)
         except Closed:
-            self._break()
+            self._abort()
             return
-        if rest:
-            self._begin(parts, rest)
+        if unsent:
+            self._start_writer(parts, unsent)
         elif self.conn.draining:
             self.conn.close_if_idle()
 
     def wait(self) -> None:
-        """Until all is written, or the connection is closed."""
-        while self.busy and self.conn.open:
+        """Blocks until everything is written or the connection is closed."""
+        while self.writing and self.conn.open:
             self._done = Signal(self.hub)
             self._done.wait(None)
 
-    def _begin(self, parts: list[bytes], rest: bytes) -> None:
-        """A task for what the system did not take; each message that has not begun waits by itself."""
-        self.busy = True
+    def _start_writer(self, parts: list[bytes], unsent: bytes) -> None:
+        """Starts a writer task for unsent data, queueing each message that has not begun separately."""
+        self.writing = True
         self.conn.busy += 1
         self.unread.writing += 1
         data = b"".join(parts)
-        sent, at = len(data) - len(rest), 0
+        sent, at = len(data) - len(unsent), 0
         while at < len(data):
             begin, at = at, at + thrift.frame_size(data, at)
             if begin >= sent:
                 message = data[begin:at]
-                self._wait_in_line(thrift.number_of(message), message)
+                self._enqueue(thrift.number_of(message), message)
             elif at > sent:
-                self._wait_in_line(BEGUN, data[sent:at])
+                self._enqueue(PARTLY_SENT, data[sent:at])
         self.hub.spawn(self._write, name="thrift writer")
 
-    def _wait_in_line(self, number: int, data: bytes) -> None:
-        if number != BEGUN and not self.unread.fits(len(data)):
-            data = thrift.thrown("serve", number, 2, NOT_READ)
+    def _enqueue(self, seqid: int, data: bytes) -> None:
+        if seqid != PARTLY_SENT and not self.unread.fits(len(data)):
+            data = thrift.thrown("serve", seqid, 2, UNREAD_FIELDS)
         self.unread.total += len(data)
-        self._queue.append((number, data))
+        self._queue.append((seqid, data))
 
     def _write(self) -> None:
         try:
@@ -116,11 +117,11 @@
                 self.conn.write_started_at = time.monotonic()
                 self.conn.write(data, None)
         except Closed:
-            self._break()
+            self._abort()
         finally:
-            self.unread.total -= self._bytes()
+            self.unread.total -= self._queued_bytes()
             self._queue.clear()
-            self.busy, self.conn.write_started_at = False, 0.0
+            self.writing, self.conn.write_started_at = False, 0.0
             self.conn.busy -= 1
             self.unread.writing -= 1
             if self.conn.draining:
@@ -128,10 +129,10 @@
             if self._done is not None:
                 self._done.set()
 
-    def _bytes(self) -> int:
+    def _queued_bytes(self) -> int:
         return sum(len(data) for _, data in self._queue)
 
-    def _break(self) -> None:
-        """The client can tell that the answer is not whole. Who reads the connection gets Closed."""
+    def _abort(self) -> None:
+        """Closes the connection, so that the client sees that an answer is incomplete."""
         self.conn.over = True
         self.conn.close()
--- a/aspenrill/fronts/thrift_requests.py
+++ b/aspenrill/fronts/thrift_requests.py
@@ -1,4 +1,4 @@
-"""What a call of `serve` asks for: its fields checked, as a request for the owner."""
+"""Validates the fields of a `serve` call and builds the request for the owner."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 from ..core.books import Call, Final
 from ..wire.sql import table_group
 
-MARGIN = 0.1  # seconds of a client's time kept back for the way of the answer
-MOST_TIMEOUT_DIGITS = 9
-MOST_KEY = 256  # bytes
-IDENT_SIZE = 16
-HEX, PRINTABLE = b"0123456789abcdefABCDEF", re.compile(rb"[!-~]+")
+REPLY_MARGIN = 0.1  # seconds of the client's time-out reserved for the delivery of the answer
+MAX_TIMEOUT_DIGITS = 9  # of milliseconds
+MAX_KEY_LENGTH = 256  # bytes
+ID_LENGTH = 16  # hex digits
+HEX_DIGITS = b"0123456789abcdefABCDEF"
+PRINTABLE = re.compile(rb"[!-~]+")
 
 
 class RequestReader:
-    """Knows the names of classes and tenants as the settings have them."""
+    """Builds requests, resolving the names of classes and tenants from the settings."""
 
     def __init__(self, classes: list[str], keyed: list[bool], tenants: list[str]) -> None:
         self.keyed, self.tenants = keyed, tenants
@@ -33,17 +34,20 @@
         reply: Callable[[Call, Final], None],
         tag: int,
     ) -> Call:
-        """The request, of whose time `spent` seconds are over; ValueError names the field that is wrong."""
+        """Returns the request. Raises ValueError that names the invalid field.
+
+        `spent`: seconds of its time-out that have passed already.
+        """
         if fields is None or not isinstance(statement, bytes):
             raise ValueError("fields or body missing")
         cls = self.class_of.get(fields.get(b"kind", b""))
         if cls is None:
             raise ValueError("kind: no such class")
-        ident = fields.get(b"req", b"")
-        if len(ident) != IDENT_SIZE or ident.strip(HEX):
+        request_id = fields.get(b"req", b"")
+        if len(request_id) != ID_LENGTH or request_id.strip(HEX_DIGITS):
             raise ValueError("req: 16 hex digits are wanted")
-        wait = fields.get(b"timeout", b"")
-        if not wait.isdigit() or len(wait) > MOST_TIMEOUT_DIGITS:
+        timeout_ms = fields.get(b"timeout", b"")
+        if not timeout_ms.isdigit() or len(timeout_ms) > MAX_TIMEOUT_DIGITS:
             raise ValueError("timeout: milliseconds are wanted")
         tenant = self.tenant_of.get(fields.get(b"owner", b"")) if self.tenants else 0
         if tenant is None:
@@ -51,19 +55,19 @@
         key = fields.get(b"opkey") or None
         if self.keyed[cls] and key is None:
             raise ValueError("opkey: missing")
-        if key is not None and (len(key) > MOST_KEY or not PRINTABLE.fullmatch(key)):
+        if key is not None and (len(key) > MAX_KEY_LENGTH or not PRINTABLE.fullmatch(key)):
             raise ValueError("opkey: cannot be passed on")
         if not statement.strip():
             raise ValueError("body: no statement")
         return Call(
-            ident.decode("ascii"),
+            request_id.decode("ascii"),
             cls,
             tenant,
             statement,
             key and key.decode("ascii"),
             table_group(statement.decode("utf-8", "replace")),
             arrived,
-            max(0.0, int(wait) / 1000 - MARGIN - spent),
+            max(0.0, int(timeout_ms) / 1000 - REPLY_MARGIN - spent),
             reply,
             tag=tag,
         )
--- a/standins/soak/defects.py
+++ b/standins/soak/defects.py
@@ -44,7 +44,7 @@
         "lost",
         "links",
         (
-            Change(THRIFT, "conn.frame(MOST_FRAME, None)", "conn.frame(MOST_FRAME, time.monotonic() + 2.0)"),
+            Change(THRIFT, "conn.frame(MAX_FRAME, None)", "conn.frame(MAX_FRAME, time.monotonic() + 2.0)"),
             Change(THRIFT, "        except Closed as why:\n", "        except (Closed, TimedOut) as why:\n"),
             Change(THRIFT, "import Closed, Hub\n", "import Closed, Hub, TimedOut\n"),
         ),
@@ -53,7 +53,7 @@
         "discards-behind-a-bad-message",
         "lost",
         "bad-clients",
-        (Change(THRIFT, "        self.bad += 1\n", '        raise Closed("a bad message")\n'),),
+        (Change(THRIFT, "        self.bad_count += 1\n", '        raise Closed("a bad message")\n'),),
     ),
     Defect(
         "exits-before-the-last-answer",
@@ -86,8 +86,8 @@
         (
             Change(
                 "aspenrill/fronts/thrift_requests.py",
-                "int(wait) / 1000 - MARGIN - spent",
-                "int(wait) / 1000 + 0.5",
+                "int(timeout_ms) / 1000 - REPLY_MARGIN - spent",
+                "int(timeout_ms) / 1000 + 0.5",
             ),
         ),
     ),
--- a/tests/frontend.py
+++ b/tests/frontend.py
@@ -1,4 +1,4 @@
-"""A front end as a process of its own, started through a stand-in; its engines, bulletin and clients."""
+"""A front end in a process of its own, started through a stand-in, with its engines, bulletin and clients."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from standins.frontprocess import FrontProcess
 from standins.world import HttpEngine
 
-WITHIN = 60.0  # seconds of a machine that is busy; all holds much sooner
+MAX_WAIT_S = 60.0  # on a busy machine; everything finishes much sooner otherwise
 
 
 class FrontEnd:
-    """`launcher`: the words between `python` and the program's name."""
+    """A front-end process. `launcher`: the arguments between `python` and the program's name."""
 
     def __init__(self, folder: Path, launcher: Sequence[str], engine: type[HttpEngine] = HttpEngine) -> None:
         self.lines: list[str] = []
@@ -29,7 +29,7 @@
         self.engines = [engine(self.hub, f"s-{number:08x}") for number in (1, 2)]
         self.front = FrontProcess(folder, "n", launcher)
         self.address = self.front.address
-        self.log_to: int | None = None  # a descriptor for its log in place of the file
+        self.log_to: int | None = None  # a descriptor that replaces the log file
 
     @property
     def process(self) -> subprocess.Popen[bytes]:
@@ -37,7 +37,7 @@
         return self.front.process
 
     def start(self, settings: dict, born_ms: Sequence[int | None] = (0, 0)) -> None:
-        """With a list of the engines that are born by then."""
+        """Starts the process with a list of the engines, without those whose birth time is None."""
         hosts = [
             host(engine.name, engine.listener.address[1], born)
             for engine, born in zip(self.engines, born_ms, strict=True)
@@ -48,8 +48,8 @@
         self.front.start(self.log_to)
 
     def client(self, cls: str) -> ThriftClient:
-        """A connection to it, as soon as it is up."""
-        at, end = SimpleNamespace(hub=self.hub, address=self.address), time.monotonic() + WITHIN
+        """Connects a client, waiting until the front end accepts."""
+        at, end = SimpleNamespace(hub=self.hub, address=self.address), time.monotonic() + MAX_WAIT_S
         while True:
             assert time.monotonic() < end and self.process.poll() is None, self.log()
             try:
@@ -60,16 +60,16 @@
     def log(self) -> str:
         return self.front.log()
 
-    def tell(self, engine: HttpEngine, born_ms: int) -> None:
-        """One more engine, by the bulletin."""
+    def announce(self, engine: HttpEngine, born_ms: int) -> None:
+        """Adds an engine through the bulletin."""
         self.feed.tell(engine.name, engine.listener.address[1], LIVE, born_ms)
 
-    def begins(self, statement: str) -> list[float]:
-        """When it began anywhere."""
+    def start_times(self, statement: str) -> list[float]:
+        """Returns the times at which the statement was started, on any engine."""
         return sorted(at for engine in self.engines for at, text in engine.began if text == statement)
 
     def stop(self) -> None:
-        """The process and all places."""
+        """Ends the process and closes all listeners."""
         self.front.close()
         for listener in (self.feed.listener, *(engine.listener for engine in self.engines)):
             listener.close()
--- a/tests/test_answer_writer.py
+++ b/tests/test_answer_writer.py
@@ -1,4 +1,4 @@
-"""Answers that a client does not take at once: whole, in order, bounded, dropped where it gives them up."""
+"""The queue of unsent answers: complete, ordered, bounded, and without answers the client cancelled."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from aspenrill.wire import thrift
 from standins.scene import play
 
-SIZE = 200_000  # bytes of an answer: the system's buffers take few of them
+SIZE = 200_000  # bytes of an answer, more than the kernel's buffers hold
 
 
 def answer(number: int, letter: bytes) -> bytes:
@@ -21,7 +21,7 @@
 
 
 def writer_of(most: int, take: int) -> tuple[Hub, AnswerWriter, Connection, socket.socket]:
-    """A writer whose first write takes so many bytes."""
+    """A writer whose first write sends `take` bytes."""
     hub = Hub()
     conn, far = failing_pair(hub, sendmsg=[take], send=[take])
     return hub, AnswerWriter(hub, conn, UnreadBytes(most)), conn, far
@@ -38,17 +38,17 @@
     return data
 
 
-def test_an_answer_that_is_given_up_in_the_queue_is_dropped_and_no_other():
+def test_only_the_cancelled_answer_is_dropped_from_the_queue():
     hub, writer, conn, far = writer_of(1 << 30, 10)
     got: list[bytes] = []
 
     def scene() -> None:
         for number, letter in ((1, b"a"), (2, b"b"), (3, b"c")):
-            writer.say(number, answer(number, letter))
+            writer.send(number, answer(number, letter))
         writer.flush()
-        writer.forget(1)  # a part of it has gone out
+        writer.forget(1)  # it is partly sent
         writer.forget(2)
-        writer.say(4, answer(4, b"d"))
+        writer.send(4, answer(4, b"d"))
         writer.forget(5)
         got.append(received(hub, far, 3 * len(answer(1, b"a"))))
         writer.wait()
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("kept", [1, 2])
-def test_beyond_the_bound_an_answer_becomes_a_failure(kept):
+def test_an_answer_beyond_the_limit_is_replaced_by_a_failure(kept):
     whole = b"".join(answer(number, b"x") for number in range(1, kept + 1))
     hub, writer, conn, far = writer_of(len(whole), 0)
     failure = thrift.thrown("serve", 3, 2, {"reason": "answers are not read"})
@@ -69,7 +69,7 @@
 
     def scene() -> None:
         for number in (1, 2, 3):
-            writer.say(number, answer(number, b"x"))
+            writer.send(number, answer(number, b"x"))
         writer.flush()
         got.append(received(hub, far, len(whole) + (3 - kept) * len(failure)))
         writer.wait()
--- a/tests/test_both.py
+++ b/tests/test_both.py
@@ -1,4 +1,4 @@
-"""The rules on sockets, each played once per protocol against stand-in engines."""
+"""The rules over sockets, each tested with both protocols against stand-in engines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @PROTOCOLS
 @pytest.mark.parametrize("rows", [ROWS, [], WIDE], ids=["few", "none", "many"])
-def test_an_answer_comes_whole_and_unchanged(protocol, rows):
+def test_an_answer_arrives_complete_and_unchanged(protocol, rows):
     # guards against lost pages, split rows and rows in another order
     world = World(protocol)
 
@@ -33,8 +33,8 @@
 
 
 @PROTOCOLS
-def test_one_answer_in_time_where_the_engine_has_none(protocol):
-    # a request whose engine hangs must still be answered before its client gives up, and once
+def test_a_request_is_answered_in_time_if_its_engine_hangs(protocol):
+    # it must be answered exactly once and before its client gives up
     world = World(protocol, 1)
 
     def play():
@@ -44,14 +44,14 @@
         assert time.monotonic() - began < 0.57
         world.until(lambda: world.engines[0].stopped == ["select slow"])
         world.engines[0].act = lambda s: Act()
-        assert client.ask("select again").kind == "served"  # and nothing came in between
+        assert client.ask("select again").kind == "served"  # and no second answer came in between
 
     world.run(play)
 
 
 @PROTOCOLS
 def test_a_cancel_reaches_the_engine_and_no_answer_comes(protocol):
-    # a forgotten request must not hold its engine, nor be answered later
+    # a cancelled request must not occupy its engine, nor be answered later
     world = World(protocol, 1)
 
     def play():
@@ -69,8 +69,8 @@
 
 
 @PROTOCOLS
-def test_a_client_that_closes_is_gone(protocol):
-    # nobody waits for it: its work must not go on
+def test_a_client_that_closes_ends_its_request(protocol):
+    # nobody waits for the answer: the work must not continue
     world = World(protocol, 1)
 
     def play():
@@ -97,12 +97,12 @@
         ("once", "full", "served", 2),
     ],
 )
-def test_what_may_have_run_goes_out_again_only_where_its_class_allows(protocol, cls, end, kind, starts):
-    # only a refusal as full proves that nothing ran: a class that must not run twice is failed otherwise
+def test_a_request_that_may_have_run_is_repeated_only_if_its_class_allows(protocol, cls, end, kind, starts):
+    # only a refusal as full proves that nothing ran; otherwise a class that must not run twice fails
     world = World(protocol)
 
     def play():
-        world.client(cls).ask("select 1")  # its usual latency is known from here on
+        world.client(cls).ask("select 1")  # from here on its usual latency is known
         for engine in world.engines:
             engine.began.clear()
             engine.act = lambda s: Act(end="ok" if sum(len(e.began) for e in world.engines) else end)
@@ -114,8 +114,8 @@
 
 @PROTOCOLS
 @pytest.mark.parametrize("cls", ["lookup", "booking", "once"])
-def test_where_all_are_full_the_refusal_says_that_nothing_ran(protocol, cls):
-    # and it comes at once, not at the deadline
+def test_if_all_engines_are_full_the_refusal_reports_that_nothing_ran(protocol, cls):
+    # it arrives at once, not at the deadline
     world = World(protocol)
 
     def play():
@@ -130,8 +130,8 @@
 
 @PROTOCOLS
 @pytest.mark.parametrize("cls", ["lookup", "once"])
-def test_an_engine_that_is_not_there_costs_nothing(protocol, cls):
-    # a refused connection proves that nothing ran, also for what must not run twice
+def test_an_unreachable_engine_fails_no_request(protocol, cls):
+    # a refused connection proves that nothing ran, even for requests that must not run twice
     world = World(protocol)
 
     def play():
@@ -144,8 +144,8 @@
 
 
 @PROTOCOLS
-def test_one_attempt_is_out_at_a_time(protocol):
-    # the second try must wait until the first engine has given the query up
+def test_one_attempt_is_in_flight_at_a_time(protocol):
+    # the second attempt must wait until the first engine has ended the query
     world = World(protocol)
 
     def play():
@@ -160,8 +160,8 @@
 
 
 @PROTOCOLS
-def test_a_draining_engine_ends_what_it_has_and_gets_nothing_new(protocol):
-    # a long usage-report streams back whole from it, while nothing new is sent there
+def test_a_draining_engine_completes_its_work_and_gets_no_more(protocol):
+    # a long usage-report is streamed back completely while nothing new is sent there
     world = World(protocol, 2)
 
     def play():
@@ -174,11 +174,11 @@
         report.send("select long from sales_1.x")
         world.until(lambda: a.began)
         world.tell([world.member(a, api.EngineState.DRAINING), world.member(b)])
-        told = time.monotonic()
+        reported = time.monotonic()
         client = world.client()
-        while time.monotonic() < told + 1.0:
+        while time.monotonic() < reported + 1.0:
             assert client.ask("select 1").kind == "served"
-        late = [at for at, s in a.began if at > told + 0.5]
+        late = [at for at, s in a.began if at > reported + 0.5]
         assert not late and len(b.began) > 3
         assert report.read(10).rows == WIDE and a.ended.count("select long from sales_1.x") == 1
 
@@ -186,8 +186,8 @@
 
 
 @PROTOCOLS
-def test_an_engine_that_is_gone_is_left_out_and_a_new_one_may_have_its_address(protocol):
-    # connections belong to the engine, not to its address: none of the old one's may serve the new one
+def test_a_removed_engine_is_not_used_and_a_new_one_may_have_its_address(protocol):
+    # connections belong to the engine, not to its address: none may be reused for the new engine
     world = World(protocol, 1)
 
     def play():
@@ -205,8 +205,8 @@
 
 
 @PROTOCOLS
-def test_a_cold_engine_is_not_pushed_over(protocol):
-    # it can do a third of its capacity: what is sent there in any window must stay under the budget
+def test_a_cold_engine_is_not_overloaded(protocol):
+    # it has a third of its capacity: the work sent to it in any window must stay within the budget
     world = World(protocol, 2, replace(SETTINGS, cores_by_kind=(1,)))
 
     def play():
@@ -230,8 +230,8 @@
 
 
 @PROTOCOLS
-def test_leaving_takes_and_answers_until_the_end(protocol):
-    # after SIGTERM requests still come for a while; all get their answers, the slow ones a final word
+def test_shutdown_accepts_and_answers_until_its_end(protocol):
+    # after SIGTERM requests still arrive for a while; all are answered, slow ones with a failure
     world = World(protocol, 1)
 
     def play():
@@ -255,8 +255,8 @@
 
 
 @PROTOCOLS
-def test_what_comes_after_the_last_word_is_turned_away(protocol):
-    # the program ends a moment later: a request taken then would have no answer at all
+def test_requests_after_the_end_of_acceptance_are_refused(protocol):
+    # the program exits a moment later: a request accepted then would get no answer
     world = World(protocol, 1)
 
     def play():
@@ -269,8 +269,8 @@
 
 
 @PROTOCOLS
-def test_answers_wait_for_a_client_that_reads_slowly(protocol):
-    # back-pressure: what does not fit stays in the ring, bounded, and comes whole in the end
+def test_answers_are_queued_for_a_client_that_reads_slowly(protocol):
+    # back-pressure: unsent data stays in a bounded buffer and arrives completely in the end
     world = World(protocol, 1)
 
     def play():
--- a/tests/test_both_connections.py
+++ b/tests/test_both_connections.py
@@ -1,4 +1,4 @@
-"""Connections on sockets, each rule played once per protocol: broken, many, quiet, mute and gone."""
+"""Connection handling with both protocols: broken, many, idle, silent and closed connections."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @PROTOCOLS
 def test_a_connection_that_broke_while_idle_is_not_used(protocol):
-    # an idle connection that its engine has closed must not cost a request anything
+    # an idle connection that its engine has closed must not affect any request
     world = World(protocol, 1)
 
     def play():
@@ -40,8 +40,8 @@
 
 
 @PROTOCOLS
-def test_new_connections_that_break_put_no_engine_out(protocol):
-    # a probe that was cut off put a healthy engine out, and so the next
+def test_new_connections_that_break_do_not_eject_an_engine(protocol):
+    # an interrupted probe ejected a healthy engine, and the next probe another one
     world = World(protocol, 1)
 
     def play():
@@ -70,8 +70,8 @@
 
 
 @PROTOCOLS
-def test_more_requests_than_connections_take_turns(protocol):
-    # descriptors are budgeted: what finds none waits a little, and is told that nothing ran if none comes
+def test_more_requests_than_connections_wait_for_a_slot(protocol):
+    # connections are limited: a request waits for one, and is refused as not run if none becomes free
     world = World(protocol, 1)
 
     def play():
@@ -87,8 +87,8 @@
 
 
 @PROTOCOLS
-def test_quiet_connections_give_way_to_new_ones(protocol):
-    # clients that ask once and stay took every place: nobody else was accepted any more
+def test_idle_connections_are_evicted_for_new_ones(protocol):
+    # clients that sent one request and stayed connected used all slots, and no one else was accepted
     world = World(protocol, 1)
 
     def play():
@@ -100,44 +100,44 @@
         for _ in range(20):
             assert world.client().ask("select 1").kind == "served"
         assert len(listener.connections) <= 6
-        assert first.read(5).kind == "served"  # something was open on it
+        assert first.read(5).kind == "served"  # it had an open request
 
     world.run(play)
 
 
 @PROTOCOLS
-def test_mute_connections_shut_nobody_out_and_stay_while_there_is_room(protocol):
-    # connections by the hundred that say nothing, or half a message, filled the share of descriptors; a timer
-    # that ended them ended those too whose first bytes were late
+def test_silent_connections_do_not_block_others_and_stay_while_slots_are_free(protocol):
+    # hundreds of connections that sent nothing or half a message used up all descriptors; a time-out for them
+    # also closed connections whose first bytes were late
     world = World(protocol, 1)
 
     def play():
         listener = world.node.fronts[0][1]
         listener.max_connections = 6
-        usual = world.client()
-        assert usual.ask("select 1").kind == "served"
-        mute = [connect(world.hub, world.address, time.monotonic() + 2) for _ in range(40)]
-        for conn in mute[::2]:
+        client = world.client()
+        assert client.ask("select 1").kind == "served"
+        silent = [connect(world.hub, world.address, time.monotonic() + 2) for _ in range(40)]
+        for conn in silent[::2]:
             conn.write(b"\x12\0", time.monotonic() + 2)
-        assert usual.ask("select 1").kind == "served"
+        assert client.ask("select 1").kind == "served"
         assert world.client().ask("select 1").kind == "served"
         assert len(listener.connections) <= 6
         ended = 0
-        for conn in mute:
+        for conn in silent:
             try:
                 conn.fill(time.monotonic() + 0.01)
             except Closed:
                 ended += 1
             except TimedOut:
                 pass
-        assert 34 <= ended < 40, "more were ended than their places were needed, or fewer"
+        assert 34 <= ended < 40, "not as many were evicted as slots were needed"
 
     world.run(play)
 
 
 @PROTOCOLS
-def test_nothing_stays_of_clients_and_engines_that_have_gone(protocol):
-    # errors held the frames that they came through, and so connections, until a collection that seldom came
+def test_closed_clients_and_removed_engines_leave_no_objects(protocol):
+    # exceptions referenced their frames, and so connections, until a rare garbage collection
     world = World(protocol, 1)
 
     def count() -> Counter:
@@ -161,7 +161,7 @@
                 world.engines[0].act = lambda s: Act()
                 world.until(lambda: not world.engines[0].running)
             else:
-                stays.append(client.conn.sock.dup())  # asked once, and keeps its connection
+                stays.append(client.conn.sock.dup())  # sent one request and keeps its connection
             gone = Member(f"s-{at:08x}f", ("127.0.0.1", 9), api.EngineState.LIVE)
             world.tell([gone])
             world.tell([replace(gone, state=api.EngineState.GONE)])
@@ -176,7 +176,7 @@
         churn(20)
         gc.collect()
         before = count()
-        world.hub.sleep(0.2)  # the collection was a stall, in which requests are refused
+        world.hub.sleep(0.2)  # the collection stalled the event loop, during which requests are refused
         churn(60)
         after = count()
         assert not {k: (before[k], n) for k, n in after.items() if n > before[k] + 8}
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from frontend import WITHIN, FrontEnd
+from frontend import MAX_WAIT_S, FrontEnd
 from test_release import INFO
 
 from aspenrill.net.conn import Connection
@@ -95,30 +95,33 @@
         client = stepped.client("booking")
         stepped.act(Act())
         for number in range(10):
-            assert client.ask(f"short {number}", WITHIN).kind == "served"
+            assert client.ask(f"short {number}", MAX_WAIT_S).kind == "served"
         stepped.act(Act(after=3 * WINDOW), stalls_at)
         client.send("long")
-        while not stepped.begins("long"):
+        while not stepped.start_times("long"):
             stepped.hub.sleep(0.01)
         stepped.step(by)
-        replies.append(client.read(WITHIN))
+        replies.append(client.read(MAX_WAIT_S))
 
     stepped.start(SETTINGS)
     play(stepped.hub, scene)
-    return replies[0], stepped.begins("long")
+    return replies[0], stepped.start_times("long")
 
 
 @pytest.mark.parametrize("by", STEPS)
 def test_a_keyed_request_is_not_repeated_after_its_window(stepped, by):
-    reply, begins = one_long_request(stepped, by, BAD_PLAN_AT)
-    assert begins[-1] - begins[0] <= WINDOW + SLACK, (begins, stepped.log())
+    reply, start_times = one_long_request(stepped, by, BAD_PLAN_AT)
+    assert start_times[-1] - start_times[0] <= WINDOW + SLACK, (start_times, stepped.log())
     assert reply.kind == "served", stepped.log()
 
 
 @pytest.mark.parametrize("by", STEPS)
 def test_a_keyed_request_is_repeated_within_its_window(stepped, by):
-    reply, begins = one_long_request(stepped, by, 0.4 * WINDOW)
-    assert len(begins) == 2 and begins[1] - begins[0] <= WINDOW + SLACK, (begins, stepped.log())
+    reply, start_times = one_long_request(stepped, by, 0.4 * WINDOW)
+    assert len(start_times) == 2 and start_times[1] - start_times[0] <= WINDOW + SLACK, (
+        start_times,
+        stepped.log(),
+    )
     assert reply.kind == "served", stepped.log()
 
 
@@ -128,20 +131,20 @@
         client = stepped.client("booking")
         stepped.act(Act())
         for number in range(10):
-            assert client.ask(f"short {number}", WITHIN).kind == "served"
+            assert client.ask(f"short {number}", MAX_WAIT_S).kind == "served"
         stepped.act(Act(after=1.0))
         for statement in ("blocks", "blocks", "queued"):  # one request fills an engine
             client.send(statement)
-        while len(stepped.begins("blocks")) < 2:
+        while len(stepped.start_times("blocks")) < 2:
             stepped.hub.sleep(0.01)
         stepped.step(by)
-        replies.extend(client.read(WITHIN).kind for _ in range(3))
+        replies.extend(client.read(MAX_WAIT_S).kind for _ in range(3))
 
     replies: list[str] = []
     stepped.start(SETTINGS | {"family_info": {"cores_by_kind": [1]}})
     play(stepped.hub, scene)
     assert replies == ["served"] * 3, stepped.log()
-    assert stepped.begins("queued")[0] > stepped.begins("blocks")[0] + 0.9
+    assert stepped.start_times("queued")[0] > stepped.start_times("blocks")[0] + 0.9
 
 
 def send_load(stepped: SteppedFrontEnd, seconds: float) -> None:
@@ -152,7 +155,7 @@
         number = 0
         while time.monotonic() < until:
             number += 1
-            client.ask(f"load {me} {number}", WITHIN)
+            client.ask(f"load {me} {number}", MAX_WAIT_S)
         running[0] -= 1
 
     for me in range(CLIENTS):
@@ -183,7 +186,7 @@
         if not at_start:
             send_load(stepped, 0.5)
             stepped.step(by)
-            stepped.tell(cold, round(time.time() * 1000))
+            stepped.announce(cold, round(time.time() * 1000))
             born.append(time.monotonic())
         send_load(stepped, 2.5)
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from frontend import WITHIN, FrontEnd
+from frontend import MAX_WAIT_S, FrontEnd
 from test_release import INFO
 
 from aspenrill.net.connecting import Refused
@@ -38,11 +38,11 @@
         while number < REQUESTS:
             statement = f"q {me} {number}"
             try:
-                reply = client.ask(statement, WITHIN, req=f"{me:08x}{number:07x}{again:x}")
+                reply = client.ask(statement, MAX_WAIT_S, req=f"{me:08x}{number:07x}{again:x}")
             except (
                 Closed
             ) as why:  # retry as the protocol says: it was sent while an idle connection was closed
-                if again or failing.begins(statement):
+                if again or failing.start_times(statement):
                     lost.append((statement, repr(why)))
                     break
                 crossed.append(statement)
@@ -59,7 +59,7 @@
     def scene() -> None:
         for me in range(CLIENTS):
             hub.spawn(send_requests, failing.client("lookup"), me)
-        end = time.monotonic() + WITHIN
+        end = time.monotonic() + MAX_WAIT_S
         while running[0]:
             assert time.monotonic() < end and failing.process.poll() is None, failing.log()[-3000:]
             hub.sleep(0.05)
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -1,4 +1,4 @@
-"""What each front says to bad input, and the hard cases of each."""
+"""Each front under bad input, and its edge cases."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     ],
 )
 def test_a_field_that_cannot_be_used_fails_the_request(changed):
-    # and no engine ever sees it: there it would break a rule of the platform
+    # no engine may receive it, as that would violate the platform's protocol
     world = World("thrift", 1)
 
     def play():
@@ -49,7 +49,7 @@
     world.run(play)
 
 
-def test_the_same_id_twice_is_failed_and_the_first_goes_on():
+def test_a_duplicate_id_is_failed_and_the_first_request_continues():
     world = World("thrift", 1)
 
     def play():
@@ -104,8 +104,8 @@
     world.run(play)
 
 
-def test_a_flood_on_one_connection_gives_way_to_others(monkeypatch):
-    # its task read on for as long as bytes had come, and nobody else had a turn
+def test_constant_input_on_one_connection_does_not_starve_others(monkeypatch):
+    # its task read on as long as input was available, and no other task ran
     world, count, read = World("thrift", 1), [0], thrift.read_message
 
     def counted(frame):
@@ -116,21 +116,21 @@
     bad = thrift.frame(thrift.ONEWAY, "forget", 0, thrift.field(thrift.I32, 1, b"\0\0\0\7"))
 
     def play():
-        flood, usual = connect(world.hub, world.address, time.monotonic() + 2), world.client()
-        flood.sock.setblocking(True)
-        flood.sock.settimeout(0.05)
+        busy, client = connect(world.hub, world.address, time.monotonic() + 2), world.client()
+        busy.sock.setblocking(True)
+        busy.sock.settimeout(0.05)
         try:
-            flood.sock.sendall(bad * 20000)  # what the system takes lies there at once
+            busy.sock.sendall(bad * 20000)  # what the kernel accepts is available at once
         except TimeoutError:
             pass
-        assert usual.ask("select 1").kind == "served" and count[0] < 1000
+        assert client.ask("select 1").kind == "served" and count[0] < 1000
         world.until(lambda: count[0] > 3000)
 
     world.run(play)
 
 
-def test_messages_without_use_end_a_connection():
-    # a client that sends the same again the moment it is turned away kept the program busy
+def test_unusable_messages_end_a_connection():
+    # a client that repeats a failed request at once kept the program busy
     world = World("thrift", 1)
 
     def play():
@@ -143,10 +143,10 @@
     world.run(play)
 
 
-def test_is_well_until_it_leaves():
+def test_is_well_until_shutdown():
     world = World("thrift", 1)
 
-    def ask() -> bool:
+    def is_well() -> bool:
         conn = connect(world.hub, world.address, time.monotonic() + 2)
         conn.write(
             thrift.frame(thrift.CALL, "isWell", 1, thrift.field(thrift.BOOL, 1, b"\0")), time.monotonic() + 2
@@ -155,15 +155,15 @@
         return thrift.read_message(conn.read(int.from_bytes(conn.read(4, until), "big"), until)).args[0][3]
 
     def play():
-        assert ask() is True
+        assert is_well() is True
         world.node.owner.well = False
-        assert ask() is False
+        assert is_well() is False
 
     world.run(play)
 
 
-def test_an_error_in_one_message_costs_that_one_only():
-    # and it is in the log; it ended the connection, and what lay behind it was discarded
+def test_an_internal_error_in_one_message_affects_only_that_message():
+    # it ended the connection, and later messages were discarded; the error is logged
     world = World("thrift", 1)
 
     def play():
@@ -181,7 +181,7 @@
 
 
 def test_an_error_in_the_owner_fails_its_request_and_is_logged():
-    # a request must not be left without an answer, and the owner must live on
+    # the request must not be left without an answer, and the owner must continue
     world = World("thrift", 1)
 
     def play():
@@ -205,18 +205,18 @@
 
 
 def test_attention_halfway_through_an_answer_is_acknowledged_once():
-    # the answer ends behind a whole row, with one acknowledgement and nothing after it
+    # the answer ends after a complete row, with one acknowledgement and nothing after it
     world = World("tds", 1)
 
     def play():
         world.engines[0].act = lambda s: Act(rows=LONG if "long" in s else ROWS)
         client = world.client()
-        for conn in (client.conn, *world.node.fronts[0][1].connections):  # little fits on the way
+        for conn in (client.conn, *world.node.fronts[0][1].connections):  # small buffers
             conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send("select long")
-        client.conn.fill(time.monotonic() + 5)  # some of it has come
-        world.hub.sleep(0.2)  # the writer stands against the full socket
+        client.conn.fill(time.monotonic() + 5)  # part of it has arrived
+        world.hub.sleep(0.2)  # the writer blocks on the full socket
         client.cancel()
         assert client.read(5).kind == "cancelled"
         with pytest.raises(TimedOut):
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize("kind, body", [(tds.RPC, b"\0" * 20), (tds.SQL_BATCH, tds.sql_batch("  "))])
-def test_what_tds_cannot_take_gets_error_and_done_and_the_session_goes_on(kind, body):
+def test_an_unsupported_tds_message_gets_error_and_done_and_the_session_continues(kind, body):
     world = World("tds", 1)
 
     def play():
@@ -296,7 +296,7 @@
     world.run(play)
 
 
-def test_a_login_that_is_not_known_is_refused():
+def test_an_unknown_login_is_refused():
     world = World("tds", 1)
 
     def play():
@@ -313,8 +313,8 @@
     world.run(play)
 
 
-def test_a_client_library_gets_along_with_the_front():
-    # python-tds is somebody else's reading of the specification
+def test_a_client_library_works_with_the_front():
+    # python-tds is an independent implementation of the specification
     world = World("tds", 1)
     code = (
         "import pytds,sys\n"
--- a/tests/test_leaving_process.py
+++ b/tests/test_leaving_process.py
@@ -1,4 +1,4 @@
-"""Shutdown of a real process under signals in series, while clients go on using their connections."""
+"""Shutdown of a process that receives repeated signals while clients keep sending requests."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from pathlib import Path
 
 import pytest
-from frontend import WITHIN, FrontEnd
+from frontend import MAX_WAIT_S, FrontEnd
 from test_release import INFO
 
 from aspenrill.net.hub import Closed
 from standins.clients import ThriftClient
 from standins.scene import play
 
-DEADLINE, KILL_AFTER = 0.3, 0.7  # seconds
+DEADLINE = 0.3  # seconds
+KILL_AFTER = 0.7  # seconds
 CLASS = INFO["classes"][0] | {"on_time_ns": int(0.2e9), "give_up_ns": int(DEADLINE * 1e9)}
 SETTINGS = INFO | {"classes": [CLASS], "group_size": 1, "me": 0}
 
@@ -28,23 +29,23 @@
 
 
 @pytest.mark.parametrize("second", [signal.SIGTERM, signal.SIGHUP], ids=["term", "hup"])
-def test_signals_in_series_do_not_change_how_it_ends(front, second):
-    # as the interpreter ends it takes handlers back: a signal then ended the process by its default way
+def test_repeated_signals_do_not_change_the_exit_code(front, second):
+    # at exit the interpreter restores the default handlers, so that a signal then killed the process
     kinds: list[str] = []
 
-    def ask(client: ThriftClient) -> None:
+    def send_requests(client: ThriftClient) -> None:
         try:
             while True:
-                kinds.append(client.ask("select 1", WITHIN).kind)
+                kinds.append(client.ask("select 1", MAX_WAIT_S).kind)
                 front.hub.sleep(0.02)
         except Closed:
             client.close()
 
     def scene() -> None:
-        front.hub.spawn(ask, front.client("lookup"))
+        front.hub.spawn(send_requests, front.client("lookup"))
         front.hub.sleep(0.2)
         front.process.send_signal(signal.SIGTERM)
-        until = time.monotonic() + WITHIN
+        until = time.monotonic() + MAX_WAIT_S
         while front.process.poll() is None:
             assert time.monotonic() < until, front.log()
             front.process.send_signal(second)
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -250,7 +250,7 @@
 
 def test_buffered_requests_keep_their_connection(monkeypatch):
     # while the task yielded, they were buffered and the kernel held nothing, so the connection looked idle
-    monkeypatch.setattr("aspenrill.fronts.thrift.TURN", 1)
+    monkeypatch.setattr("aspenrill.fronts.thrift.MESSAGES_PER_TURN", 1)
     world = World("thrift", 1)
 
     def play():
--- a/tests/test_path_many.py
+++ b/tests/test_path_many.py
@@ -110,16 +110,16 @@
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
         for _ in range(2):
             together(world, client, [f"select {i}" for i in range(4)])  # more than the system's buffers take
-            world.until(lambda: [o for o in gc.get_objects() if isinstance(o, Session) and o.writer.busy])
+            world.until(lambda: [o for o in gc.get_objects() if isinstance(o, Session) and o.writer.writing])
             [session] = [o for o in gc.get_objects() if isinstance(o, Session) and o.conn is conn]
             together(world, client, [f"select {i}" for i in range(4, 12)])
             world.until(lambda: len(engine.ended) == 12)
-            world.until(lambda s=session: not s.open and not s.writer._parts)
+            world.until(lambda s=session: not s.open_requests and not s.writer._parts)
             size = sum(map(len, engine.pages(Act(rows=wide)))) + 100
-            assert 0 < session.writer._bytes() <= 12 * size, "held more than once, or not at all"
+            assert 0 < session.writer._queued_bytes() <= 12 * size, "held more than once, or not at all"
             for reply in numbered(client, 12):
                 assert reply.rows == wide
-            world.until(lambda s=session: not s.writer.busy)
+            world.until(lambda s=session: not s.writer.writing)
             assert not session.writer.queued and not session.service.unread.total
             assert session.conn.outgoing._view is None
             engine.ended.clear()
@@ -163,7 +163,7 @@
     def run():
         service = world.node.fronts[0][0]
         service.shed_after = shed_after(SETTINGS)
-        service.shed_least, service.shed = min(service.shed_after), {"holdoff": "250"}
+        service.min_shed_after, service.shed_hint = min(service.shed_after), {"holdoff": "250"}
         seen, handle = [], world.node.owner.gateway.handle
         world.node.owner.gateway.handle = lambda now, event: (seen.append(event), handle(now, event))[1]
         client, worthy = world.client(), world.client("usage-report")
