--- a/aspenrill/engines/__init__.py
+++ b/aspenrill/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Speaking to engines: attempts, their notes and answers, cancels and probes."""
+"""The engine protocols, HTTP and TDS: attempts, their notes and answers, cancels and probes."""
--- a/aspenrill/engines/base.py
+++ b/aspenrill/engines/base.py
@@ -1,4 +1,4 @@
-"""What attempts have in common whatever their engine speaks: one end each, the last look, the giving up."""
+"""The protocol-independent part of attempts: sending the request, the single end, and cancellation."""
 
 from __future__ import annotations
 
@@ -13,62 +13,65 @@
 from ..net.hub import Closed, Hub, TimedOut
 from .pool import Pools
 
-SILENT = 1.0  # seconds for a request to be written
-AFRESH = 3  # new connections that may break unused, until the engine counts as not reached
+WRITE_TIMEOUT = 1.0  # seconds for writing a request
+MAX_BROKEN_CONNECTIONS = 3  # new connections that may break unused before the engine counts as unreachable
 
 
 class Cancelled(Exception):
-    """The attempt is no longer wanted."""
+    """The attempt has been cancelled."""
 
 
-class Over(Exception):
-    """The attempt has come to its end."""
+class AttemptEnded(Exception):
+    """The attempt has ended with an outcome."""
 
-    def __init__(self, outcome: Outcome, **more: Any) -> None:
+    def __init__(self, outcome: Outcome, **details: Any) -> None:
         super().__init__(outcome)
-        self.outcome, self.more = outcome, more
+        self.outcome, self.details = outcome, details
 
 
 class Engines:
-    """Attempts, cancels and probes; ends and notes go to `post`. A protocol fills in `_carry` and `_stop`."""
+    """Runs attempts, cancels and probes, and posts their ends and notes.
+
+    Subclasses implement the protocol in `_execute` and `_stop_at_engine`.
+    """
 
     def __init__(
         self, hub: Hub, pools: Pools, post: Callable[[Any], None], safe: frozenset[int] = frozenset()
     ) -> None:
         self.hub, self.pools, self.post = hub, pools, post
-        self.safe = safe  # classes whose requests may run again
+        self.safe = safe  # indexes of the classes whose requests may run twice
 
     def start(self, attempt: Attempt) -> None:
-        """Carry it out in a task of its own; one Ended follows."""
+        """Runs an attempt in a task of its own, which posts one Ended."""
         attempt.task = self.hub.spawn(self._run, attempt, name="attempt")
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give it up."""
+        """Cancels an attempt."""
         if not attempt.cancelled:
             attempt.cancelled = True
             attempt.task.interrupt(Cancelled())
 
     def rank(self, attempt: Attempt, priority: int) -> None:
-        """A new priority for what is out, where the protocol has one."""
+        """Changes the priority of an attempt in flight, if the protocol supports it."""
 
     def retire(self, peer: Peer) -> None:
-        """No new work goes there."""
+        """Stops sending work to an engine."""
         self.pools.retire(peer)
 
-    def _carry(self, attempt: Attempt) -> None:
-        """From the first byte to the end, which is told by Over."""
+    def _execute(self, attempt: Attempt) -> None:
+        """Executes an attempt from its first byte to its end, which is raised as AttemptEnded."""
         raise NotImplementedError
 
-    def _stop(self, attempt: Attempt) -> None:
-        """Return once the engine works on it no more."""
+    def _stop_at_engine(self, attempt: Attempt) -> None:
+        """Makes the engine stop the attempt; returns once it has."""
         raise NotImplementedError
 
     def _run(self, attempt: Attempt) -> None:
         end = Ended(attempt, Outcome.ERROR)
         try:
-            self._carry(attempt)
-        except Over as over:
-            end = Ended(attempt, over.outcome, **over.more)
+            self._execute(attempt)
+        except AttemptEnded as ended:
+            end = Ended(attempt, ended.outcome, **ended.details)
         except Cancelled:
             end = Ended(attempt, Outcome.MOOT if attempt.asked is None else Outcome.CANCELLED)
         except TimedOut:
@@ -77,68 +80,73 @@
             if end.outcome is Outcome.OK:
                 self.post(end)
             else:
-                self._give_up(attempt, end)
+                self._finish_failed(attempt, end)
+
+    def _finish_failed(self, attempt: Attempt, end: Ended) -> None:
+        """Stops a failed attempt and posts its end once the engine no longer works on it.
 
-    def _give_up(self, attempt: Attempt, end: Ended) -> None:
-        """Tell the end once the engine works on it no more, but of an open request at its deadline: no other
-        attempt can follow then, and its client has waited long enough."""
-        attempt.cancelled, attempt.task.pending = True, None  # nothing interrupts this
+        The end is posted at the request's deadline at the latest: no other attempt can follow then, and the
+        client must not wait longer.
+        """
+        attempt.cancelled, attempt.task.pending = True, None  # no further interrupts
         if attempt.asked is None:
             self.post(end)
             return
-        told: list[Ended] = []
+        posted: list[Ended] = []
 
-        def tell(how: Ended) -> None:
-            if not told and (how is end or attempt.call.open):
-                told.append(how)
-                self.post(how)
+        def post_once(event: Ended) -> None:
+            if not posted and (event is end or attempt.call.open):
+                posted.append(event)
+                self.post(event)
 
-        timer = self.hub.timers.at(attempt.call.deadline, tell, Ended(attempt, Outcome.TIMEOUT))
+        timer = self.hub.timers.at(attempt.call.deadline, post_once, Ended(attempt, Outcome.TIMEOUT))
         try:
-            self._stop(attempt)
+            self._stop_at_engine(attempt)
         finally:
             timer.cancel()
-            tell(end)
+            post_once(end)
 
-    def _begin(self, attempt: Attempt, request: Callable[[], list[bytes]]) -> Connection | None:
-        """A connection on which the request has been written, None where it broke on the way.
+    def _send_request(self, attempt: Attempt, request: Callable[[], list[bytes]]) -> Connection | None:
+        """Writes the request; returns its connection, None if it broke after part of the request was sent.
 
-        Over where it is proven that nothing ran: no connection came up, or not a byte has gone out.
+        Raises AttemptEnded if it is proven that nothing ran: no connection was established, or no byte sent.
         """
         broken = 0
         while True:
             try:
                 conn = self.pools.take(
-                    attempt.peer, min(attempt.until, attempt.begin_by), sure=attempt.call.cls not in self.safe
+                    attempt.peer,
+                    min(attempt.until, attempt.begin_by),
+                    recheck=attempt.call.cls not in self.safe,
                 )
             except Refused as why:
                 broken += why.broken
-                if why.broken and broken < AFRESH:
+                if why.broken and broken < MAX_BROKEN_CONNECTIONS:
                     continue
-                late = time.monotonic() >= attempt.begin_by and str(why) != "ECONNREFUSED"  # not its fault
-                blameless = why.exhausted or late or not attempt.peer.takes_work
-                raise Over(Outcome.MOOT if blameless else Outcome.CONNECT_FAILED) from None
-            if not attempt.wanted:  # the last look before the first byte
-                self.pools.give(attempt.peer, conn)
-                raise Over(Outcome.MOOT)
+                late = time.monotonic() >= attempt.begin_by and str(why) != "ECONNREFUSED"
+                not_at_fault = why.exhausted or late or not attempt.peer.takes_work
+                raise AttemptEnded(Outcome.MOOT if not_at_fault else Outcome.CONNECT_FAILED) from None
+            if not attempt.wanted:  # the last check before the first byte
+                self.pools.release(attempt.peer, conn)
+                raise AttemptEnded(Outcome.MOOT)
             before = conn.bytes_sent
             try:
-                conn.write_parts(request(), min(attempt.until, time.monotonic() + SILENT))
+                conn.write_parts(request(), min(attempt.until, time.monotonic() + WRITE_TIMEOUT))
             except (Closed, TimedOut) as why:
-                self.pools.drop(conn)
+                self.pools.close(conn)
                 if conn.bytes_sent != before:
                     attempt.asked = attempt.heard = time.monotonic()
                     if isinstance(why, Closed):
                         attempt.peer.broke_at = attempt.heard
                     return None
                 broken += not conn.reused
-                if broken >= AFRESH:
-                    raise Over(Outcome.CONNECT_FAILED) from None
+                if broken >= MAX_BROKEN_CONNECTIONS:
+                    raise AttemptEnded(Outcome.CONNECT_FAILED) from None
                 continue
             except BaseException:
                 if conn.bytes_sent != before:
                     attempt.asked = time.monotonic()
-                self.pools.drop(conn)
+                self.pools.close(conn)
                 raise
             attempt.asked = attempt.heard = time.monotonic()
             return conn
--- a/aspenrill/engines/headers.py
+++ b/aspenrill/engines/headers.py
@@ -1,29 +1,29 @@
-"""Values of the headers that HTTP engines answer with."""
+"""Parses headers in the responses of HTTP engines."""
 
 from __future__ import annotations
 
 from ..settings import FIELDS
 
 
-def meter(text: str | None, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """A load report in the order of the settings; None where there is none or it cannot be read."""
+def parse_load_report(text: str | None, fields: tuple[str, ...]) -> tuple[float, ...] | None:
+    """Parses a load report into values in the order of `fields`; None if it is missing or unreadable."""
     if not text or not fields:
         return None
-    told = {}
+    values = {}
     for part in text.split(";"):
         at = part.find(":")
         name = part[:at].strip()
         name = FIELDS.get(name, name)
         if at >= 0 and name in fields:
             try:
-                told[name] = float(part[at + 1 :])
+                values[name] = float(part[at + 1 :])
             except ValueError:
                 continue
-    return tuple([told.get(name, 0.0) for name in fields]) if told else None
+    return tuple([values.get(name, 0.0) for name in fields]) if values else None
 
 
-def number(headers: dict[str, str], name: str) -> float | None:
-    """A figure from a header, if it is there and finite."""
+def header_number(headers: dict[str, str], name: str) -> float | None:
+    """Returns the number in a header, None if it is missing, negative, not finite or 1e12 or more."""
     try:
         value = float(headers[name])
     except (KeyError, ValueError):
--- a/aspenrill/engines/pool.py
+++ b/aspenrill/engines/pool.py
@@ -1,4 +1,4 @@
-"""Connections to engines: kept per engine, closed before the engine would, within a budget of descriptors."""
+"""Connections to engines: pooled by engine, limited in number, closed before the engine's idle time-out."""
 
 from __future__ import annotations
 
@@ -16,153 +16,159 @@
 from ..net.hub import Closed, Hub, Task, TimedOut
 from ..wire import Malformed
 
-MOST_DIALING = 16  # connections to one engine that come up at a time
-SETTLE = 0.02  # seconds after an answer in which more than belongs to it may still come: others go first
-WARY_FOR = 60.0  # seconds after an answer that nobody asked for in which another is expected
-UP_LATEST = 2.0  # seconds in which a connection may still come up beside others, to lie idle
-LOOK = object()  # what a wait brings whose turn it is to look again for what there is
-AFTER_FAILURE = 0.1  # seconds without another try after one that did not come up
+MAX_DIALS = 16  # connection attempts to one engine at a time
+SETTLE_TIME = 0.02  # seconds after a response in which unexpected data may still arrive
+UNEXPECTED_DATA_PERIOD = 60.0  # seconds after unexpected data in which more is expected
+LATE_DIAL_TIMEOUT = 2.0  # seconds in which a connection attempt may still succeed for later use
+CHECK_AGAIN = object()  # wake-up value: check again for a connection or a free slot
+FAILURE_BACKOFF = 0.1  # seconds of back-off after a failed connection attempt
 
 
 class Abandoned(Exception):
-    """Nobody wants what comes up there any more."""
+    """The connection attempt is no longer wanted."""
 
 
 @dataclass(eq=False, slots=True)
-class Turn:
-    """Who waits, in a line or for a dial, and for what."""
+class Waiter:
+    """A task that waits in a queue or for a connection attempt, and for what."""
 
     peer: Peer
-    fresh: bool  # for a new connection only
+    fresh: bool  # accepts only a new connection
     worker: Any = None
     wait: int = 0
-    found: Any = None  # a connection that came up while its taker was about to run
+    found: Any = None  # a connection established after the task was woken for another reason
 
 
 class Pools:
-    """Takes and gives back connections; the idle ones lie with their engine's record."""
+    """Hands out connections and takes them back; idle ones are kept in their engine's Peer."""
 
     def __init__(
         self,
         hub: Hub,
-        most: int,
+        max_connections: int,
         idle_for: float,
         connect_for: float,
-        greet: Callable[[Connection, float], None] | None = None,
+        handshake: Callable[[Connection, float], None] | None = None,
     ) -> None:
-        self.greet = greet  # what a new connection needs before its first request
-        self.hub, self.most, self.idle_for, self.connect_for = hub, most, idle_for, connect_for
+        self.handshake = handshake  # run on each new connection
+        self.hub, self.max_connections = hub, max_connections
+        self.idle_for, self.connect_for = idle_for, connect_for
         self.count = 0
-        self.resting: dict[Connection, Peer] = {}  # idle ones, longest idle first
-        self._sweeping = False  # a timer is set for the longest idle
-        self.waiting: deque = deque()
-        self.well_at: dict[Peer, float] = {}  # when an engine was last reached, of those that take work
-        self.odd_at = -1e9  # when one last brought what nobody asked for
-        self.late: dict[Turn, Task] = {}  # dials whose taker has got another
-
-    def take(self, peer: Peer, until: float, fresh: bool = False, sure: bool = True) -> Connection:
-        """An idle connection that is still sound, or a new one; Refused where none comes up in time.
-
-        Idle ones are watched, and go at the first news. `sure` looks once more: news may have come since the
-        last look at all descriptors. A request that may run again goes without.
+        self.idle_connections: dict[Connection, Peer] = {}  # idle connections, longest idle first
+        self._expiry_timer_set = False  # the timer for the longest idle connection is set
+        self.slot_waiters: deque = deque()
+        self.reached_at: dict[Peer, float] = {}  # when each active engine was last reached
+        self.unexpected_at = -1e9  # when unexpected data last arrived
+        self.late_dials: dict[Waiter, Task] = {}  # dials whose task got another connection
+
+    def take(self, peer: Peer, until: float, fresh: bool = False, recheck: bool = True) -> Connection:
+        """Returns a usable idle connection or a new one. Raises Refused if none is available in time.
+
+        Idle connections are watched and dropped at the first event. `recheck` checks once more, as an event
+        may have occurred since the last poll; a request that may run twice does without.
         """
-        now, waited = time.monotonic(), None
+        now, last_queue = time.monotonic(), None
         until, latest = min(until, now + self.connect_for), min(until, now + 2 * self.connect_for)
         while True:
-            conn = None if fresh else self._rested(peer, sure, until)
+            conn = None if fresh else self._take_idle(peer, recheck, until)
             if conn is not None:
-                if waited is not None:
-                    self._next(peer)  # its turn was not for this one
+                if last_queue is not None:
+                    self._wake_next(peer)  # pass the wake-up on, it was not needed
                 return conn
-            if peer.dialing >= MOST_DIALING:
-                line = peer.waiting
-            elif self.well_at.get(peer, 0.0) <= peer.failed_at > time.monotonic() - AFTER_FAILURE:
-                self._next(peer)
-                raise Refused("none came up just now")  # more of them would only lengthen its line
-            elif self.count < self.most:
-                return self._dial(Turn(peer, fresh), until, latest)
-            elif self.resting:
-                conn = next(iter(self.resting))
-                self._tired(self.resting[conn], conn)
+            if peer.dialing >= MAX_DIALS:
+                queue = peer.waiting
+            elif self.reached_at.get(peer, 0.0) <= peer.failed_at > time.monotonic() - FAILURE_BACKOFF:
+                self._wake_next(peer)
+                raise Refused("none came up just now")  # more attempts would only lengthen its backlog
+            elif self.count < self.max_connections:
+                return self._dial(Waiter(peer, fresh), until, latest)
+            elif self.idle_connections:
+                conn = next(iter(self.idle_connections))
+                self._drop_idle(self.idle_connections[conn], conn)
                 continue
             else:
-                line = self.waiting
-            self._next(peer)  # a turn that led only to another line is for the next in its own
-            got = self._wait(line, Turn(peer, fresh), until, line is waited)
-            if got is None and line is self.waiting:
+                queue = self.slot_waiters
+            self._wake_next(peer)  # a wake-up that led to another queue is for the next waiter of this one
+            got = self._wait_in_queue(queue, Waiter(peer, fresh), until, queue is last_queue)
+            if got is None and queue is self.slot_waiters:
                 raise Refused("no descriptor left for a connection", exhausted=True)
             if got is None:
-                raise self._unreached(peer, now)
-            waited = line
-            if got is not LOOK:
-                if self._sound(got, sure):
+                raise self._unreachable(peer, now)
+            last_queue = queue
+            if got is not CHECK_AGAIN:
+                if self._usable(got, recheck):
                     return got
-                self.drop(got)
+                self.close(got)
 
-    def _rested(self, peer: Peer, sure: bool, until: float) -> Connection | None:
-        """An idle connection that is still sound, of those that have settled the latest used."""
+    def _take_idle(self, peer: Peer, recheck: bool, until: float) -> Connection | None:
+        """Returns a usable idle connection, preferably the last used of those that have settled."""
         while peer.idle:
-            if self.wary:
-                settled = peer.idle[0].last_used_at + SETTLE
+            if self.unexpected_recently:
+                settled = peer.idle[0].last_used_at + SETTLE_TIME
                 if settled > time.monotonic():
-                    self._settle(peer, min(settled, until))
+                    self._wait_to_settle(peer, min(settled, until))
                     if settled > until:
                         return None
                     continue
-            conn = peer.idle.pop(0 if time.monotonic() < peer.idle[-1].last_used_at + SETTLE else -1)
+            conn = peer.idle.pop(0 if time.monotonic() < peer.idle[-1].last_used_at + SETTLE_TIME else -1)
             self.hub.unwatch_idle(conn.fd)
-            del self.resting[conn]
-            if self._sound(conn, sure):
+            del self.idle_connections[conn]
+            if self._usable(conn, recheck):
                 return conn
-            self.drop(conn)
+            self.close(conn)
         return None
 
-    def _settle(self, peer: Peer, until: float) -> None:
+    def _wait_to_settle(self, peer: Peer, until: float) -> None:
         try:
             self.hub.sleep(max(0.0, until - time.monotonic()))
         except BaseException:
-            self._next(peer)  # what it waited for is for another
+            self._wake_next(peer)  # pass the wake-up on
             raise
 
-    def _sound(self, conn: Connection, sure: bool) -> bool:
+    def _usable(self, conn: Connection, recheck: bool) -> bool:
         conn.reused = True
-        if not conn.open or not (sure or self.wary) or conn.is_idle():
+        if not conn.open or not (recheck or self.unexpected_recently) or conn.is_idle():
             return conn.open
-        self.look_at(conn)
+        self.check_unexpected(conn)
         return False
 
     @property
-    def wary(self) -> bool:
-        """Whether answers that nobody asked for have come of late. One could be taken for the next call's: a
-        connection rests then for `SETTLE` seconds before that, whoever waits."""
-        return time.monotonic() < self.odd_at + WARY_FOR
+    def unexpected_recently(self) -> bool:
+        """Whether unexpected data has arrived recently.
 
-    def look_at(self, conn: Connection) -> None:
-        """A connection on which something came between two calls: more than was asked for, or its end."""
+        It could be taken for the response to the next call, so each connection is then left idle for
+        SETTLE_TIME before it is used again.
+        """
+        return time.monotonic() < self.unexpected_at + UNEXPECTED_DATA_PERIOD
+
+    def check_unexpected(self, conn: Connection) -> None:
+        """Records unexpected data on a connection that became readable between two calls."""
         if conn.open and (len(conn.incoming) or conn.peer_closed() is None):
-            self.odd_at = time.monotonic()
+            self.unexpected_at = time.monotonic()
 
-    def _dial(self, turn: Turn, first: float, until: float) -> Connection:
-        """A new connection; Refused where none comes up in time.
+    def _dial(self, waiter: Waiter, first: float, until: float) -> Connection:
+        """Opens a new connection. Raises Refused if that fails or times out.
 
-        One that is slow says little of an engine that others reach (a packet may be lost): once `first` has
-        passed another is tried beside it, for `connect_for` seconds. Both count while they come up, and the
-        later of them lies idle then.
+        A slow dial proves little about an engine that others reach, as a packet may be lost: after `first` a
+        second one runs in parallel, for `connect_for` seconds. Both count towards the limits, and the later
+        connection becomes idle.
         """
-        peer, dials, conn, began = turn.peer, [], None, time.monotonic()
-        first, turn.worker = first if first > began else until, getcurrent()
+        peer, dials, conn, began = waiter.peer, [], None, time.monotonic()
+        first, waiter.worker = first if first > began else until, getcurrent()
         try:
             while conn is None:
-                turn.wait = self.hub.begin_wait()
+                waiter.wait = self.hub.begin_wait()
                 self.count += 1
                 peer.dialing += 1
-                dials.append(self.hub.spawn(self._bring, turn, time.monotonic() + UP_LATEST, name="dial"))
+                dials.append(
+                    self.hub.spawn(self._open, waiter, time.monotonic() + LATE_DIAL_TIMEOUT, name="dial")
+                )
                 try:
                     conn = self.hub.park(max(0.0, first - time.monotonic()))
                 except TimedOut:
-                    conn, now = turn.found, time.monotonic()  # one that came up in this very moment
-                    if conn is None and (len(dials) > 1 or not self._another(peer, now, until)):
-                        why = self._unreached(peer, began)
+                    conn, now = waiter.found, time.monotonic()  # one established at this very moment
+                    if conn is None and (len(dials) > 1 or not self._may_dial_again(peer, now, until)):
+                        why = self._unreachable(peer, began)
                         if now >= began + self.connect_for and not why.exhausted:
                             peer.failed_at = now
                         raise why from None
@@ -173,59 +179,59 @@
                     raise
             for dial in dials:
                 if not dial.dead:
-                    self.late[turn] = dial
+                    self.late_dials[waiter] = dial
             return conn
         except BaseException:
             for dial in dials:
                 dial.interrupt(Abandoned())
             raise
         finally:
-            turn.worker = None
-            if turn.found is not None and turn.found is not conn:
-                self.give(peer, turn.found)
+            waiter.worker = None
+            if waiter.found is not None and waiter.found is not conn:
+                self.release(peer, waiter.found)
 
-    def _another(self, peer: Peer, now: float, until: float) -> bool:
-        """Whether to try another beside a slow one: there is room, and the last that was known is good."""
+    def _may_dial_again(self, peer: Peer, now: float, until: float) -> bool:
+        """Whether a second parallel attempt is allowed: limits permit it, and the engine was reachable."""
         return (
             now < until
-            and self.count < self.most
-            and peer.dialing < MOST_DIALING
-            and self.well_at.get(peer, 0.0) > peer.failed_at
+            and self.count < self.max_connections
+            and peer.dialing < MAX_DIALS
+            and self.reached_at.get(peer, 0.0) > peer.failed_at
         )
 
-    def _unreached(self, peer: Peer, since: float) -> Refused:
-        """None came up. That proves nothing of an engine that has been reached since."""
-        return Refused("no connection in time", exhausted=self.well_at.get(peer, since) > since)
+    def _unreachable(self, peer: Peer, since: float) -> Refused:
+        """The error for an attempt that failed, which proves nothing if the engine was reached since."""
+        return Refused("no connection in time", exhausted=self.reached_at.get(peer, since) > since)
 
-    def _bring(self, turn: Turn, until: float) -> None:
-        """A task's work: bring one up for who waits, or else for whoever comes next."""
-        peer, conn = turn.peer, None
+    def _open(self, waiter: Waiter, until: float) -> None:
+        """Task body: opens a connection for the waiting task, or else for later use."""
+        peer, conn = waiter.peer, None
         try:
             found = conn = self._connect(peer, until)
             if peer.takes_work:
-                self.well_at[peer] = time.monotonic()
+                self.reached_at[peer] = time.monotonic()
         except Refused as why:
             found = why
         except Abandoned:
             return
         finally:
             peer.dialing -= 1
-            self.late.pop(turn, None)
+            self.late_dials.pop(waiter, None)
             if conn is None:
-                self._left()
-            self._next(peer)
-        if turn.worker is not None and self.hub.wake(turn.worker, turn.wait, found) or conn is None:
+                self._free_slot()
+            self._wake_next(peer)
+        if waiter.worker is not None and self.hub.wake(waiter.worker, waiter.wait, found) or conn is None:
             return
-        if turn.worker is not None and turn.found is None:
-            turn.found = conn  # its taker has been woken otherwise, and not run yet
+        if waiter.worker is not None and waiter.found is None:
+            waiter.found = conn  # the task has been woken for another reason and has not run yet
         else:
-            self.give(peer, conn)
+            self.release(peer, conn)
 
     def _connect(self, peer: Peer, until: float) -> Connection:
         conn = connect(self.hub, peer.address, until)
-        if self.greet is not None:
+        if self.handshake is not None:
             try:
-                self.greet(conn, until)
+                self.handshake(conn, until)
             except BaseException as why:
                 conn.close()
                 if isinstance(why, (Closed, TimedOut, Malformed)):
@@ -233,112 +239,116 @@
                 raise
         return conn
 
-    def give(self, peer: Peer, conn: Connection) -> None:
-        """Back after a whole call."""
+    def release(self, peer: Peer, conn: Connection) -> None:
+        """Takes a connection back after a complete call."""
         if not peer.takes_work or not conn.open or len(conn.incoming):
             if conn.open:
-                self.look_at(conn)
-            self.drop(conn)
+                self.check_unexpected(conn)
+            self.close(conn)
             return
-        conn.last_used_at = self.well_at[peer] = time.monotonic()
-        for line in (peer.waiting, self.waiting):
+        conn.last_used_at = self.reached_at[peer] = time.monotonic()
+        for queue in (peer.waiting, self.slot_waiters):
             if (
-                line
-                and not self.wary
-                and self._wake(line, conn, lambda turn: turn.peer is peer and not turn.fresh)
+                queue
+                and not self.unexpected_recently
+                and self._wake(queue, conn, lambda waiter: waiter.peer is peer and not waiter.fresh)
             ):
                 return
-        if self.waiting:  # for a descriptor, to reach other engines
-            self.drop(conn)
+        if self.slot_waiters:  # tasks wait for a slot for other engines
+            self.close(conn)
             return
         peer.idle.append(conn)
-        self.resting[conn] = peer
-        self.hub.watch_idle(conn.fd, self._news, peer, conn)
-        if not self._sweeping:
-            self._sweeping = True
-            self.hub.timers.after(self.idle_for, self._sweep)
+        self.idle_connections[conn] = peer
+        self.hub.watch_idle(conn.fd, self._handle_idle_event, peer, conn)
+        if not self._expiry_timer_set:
+            self._expiry_timer_set = True
+            self.hub.timers.after(self.idle_for, self._close_expired)
         if peer.waiting:
-            self._next(peer)
+            self._wake_next(peer)
 
-    def drop(self, conn: Connection) -> None:
-        """Close it."""
+    def close(self, conn: Connection) -> None:
+        """Closes a connection and frees its slot."""
         if conn.open:
             conn.close()
-            self._left()
+            self._free_slot()
 
     def retire(self, peer: Peer) -> None:
-        """Close what lies idle: the engine takes no more work, or is another process now."""
-        self.well_at.pop(peer, None)
-        for turn, dial in list(self.late.items()):
-            if turn.peer is peer:
+        """Closes idle connections of an engine that takes no more work or was replaced."""
+        self.reached_at.pop(peer, None)
+        for waiter, dial in list(self.late_dials.items()):
+            if waiter.peer is peer:
                 dial.interrupt(Abandoned())
         while peer.idle:
-            self._tired(peer, peer.idle[-1])
+            self._drop_idle(peer, peer.idle[-1])
 
-    def _news(self, peer: Peer, conn: Connection) -> None:
-        """An idle connection has ended, or brings what nobody asked for."""
+    def _handle_idle_event(self, peer: Peer, conn: Connection) -> None:
+        """Handles an event on an idle connection: end of stream, or unexpected data."""
         if conn.peer_closed():
             peer.broke_at = time.monotonic()
         else:
-            self.look_at(conn)
-        self._tired(peer, conn)
+            self.check_unexpected(conn)
+        self._drop_idle(peer, conn)
 
-    def _tired(self, peer: Peer, conn: Connection) -> None:
+    def _drop_idle(self, peer: Peer, conn: Connection) -> None:
         self.hub.unwatch_idle(conn.fd)
         peer.idle.remove(conn)
-        del self.resting[conn]
-        self.drop(conn)
-
-    def _sweep(self) -> None:
-        """Close what has been idle for long: one timer serves them all, set for the longest idle."""
-        self._sweeping, before = False, time.monotonic() - self.idle_for + 0.001
-        while self.resting:
-            conn, peer = next(iter(self.resting.items()))
+        del self.idle_connections[conn]
+        self.close(conn)
+
+    def _close_expired(self) -> None:
+        """Closes connections idle for too long; one timer serves all, set for the longest idle."""
+        self._expiry_timer_set, before = False, time.monotonic() - self.idle_for + 0.001
+        while self.idle_connections:
+            conn, peer = next(iter(self.idle_connections.items()))
             if conn.last_used_at > before:
-                self._sweeping = True
-                self.hub.timers.after(conn.last_used_at - before, self._sweep)
+                self._expiry_timer_set = True
+                self.hub.timers.after(conn.last_used_at - before, self._close_expired)
                 break
-            self._tired(peer, conn)
+            self._drop_idle(peer, conn)
 
-    def _left(self) -> None:
+    def _free_slot(self) -> None:
         self.count -= 1
-        self._freed()
+        self._wake_slot_waiter()
 
-    def _freed(self) -> None:
-        """Room for a connection: for who waits longest."""
-        if self.waiting and self.count < self.most:
-            self._wake(self.waiting, LOOK)
+    def _wake_slot_waiter(self) -> None:
+        """Wakes the longest waiting task if a slot is free."""
+        if self.slot_waiters and self.count < self.max_connections:
+            self._wake(self.slot_waiters, CHECK_AGAIN)
 
-    def _next(self, peer: Peer) -> None:
-        """A turn that its owner did not use, or one more, goes on to who waits longest."""
-        if peer.waiting and peer.dialing < MOST_DIALING:
-            self._wake(peer.waiting, LOOK)
+    def _wake_next(self, peer: Peer) -> None:
+        """Passes an unused or new opportunity on to the longest waiting task."""
+        if peer.waiting and peer.dialing < MAX_DIALS:
+            self._wake(peer.waiting, CHECK_AGAIN)
         elif peer.waiting and peer.idle:
-            self._wake(peer.waiting, LOOK, lambda turn: not turn.fresh)
-        self._freed()
+            self._wake(peer.waiting, CHECK_AGAIN, lambda waiter: not waiter.fresh)
+        self._wake_slot_waiter()
 
-    def _wait(self, line: deque, turn: Turn, until: float, first: bool) -> Any:
-        """Wait in a line: a connection or LOOK, None where no turn comes in time. Whose turn another has used
-        up waits `first` in it."""
+    def _wait_in_queue(self, queue: deque, waiter: Waiter, until: float, first: bool) -> Any:
+        """Waits in a queue; returns a connection or CHECK_AGAIN, None on time-out.
+
+        `first`: at the head, for a task whose opportunity another one used up.
+        """
         seconds = until - time.monotonic()
         if seconds <= 0:
             return None
-        turn.worker, turn.wait = getcurrent(), self.hub.begin_wait()
-        (line.appendleft if first else line.append)(turn)
+        waiter.worker, waiter.wait = getcurrent(), self.hub.begin_wait()
+        (queue.appendleft if first else queue.append)(waiter)
         try:
             return self.hub.park(seconds)
         except TimedOut:
             return None
         finally:
-            if turn in line:
-                line.remove(turn)
-
-    def _wake(self, line: deque, what: Any, fits: Callable[[Turn], bool] = lambda turn: True) -> bool:
-        """Pass it to the first that fits and still waits; whether there was one. A task that was interrupted,
-        or whose time is up, stands in line until it runs."""
-        for turn in list(line):
-            if fits(turn):
-                line.remove(turn)
-                if self.hub.wake(turn.worker, turn.wait, what):
+            if waiter in queue:
+                queue.remove(waiter)
+
+    def _wake(self, queue: deque, value: Any, fits: Callable[[Waiter], bool] = lambda waiter: True) -> bool:
+        """Wakes the first waiter that fits and still waits; returns whether there was one.
+
+        An interrupted or timed-out task stays in the queue until it runs.
+        """
+        for waiter in list(queue):
+            if fits(waiter):
+                queue.remove(waiter)
+                if self.hub.wake(waiter.worker, waiter.wait, value):
                     return True
         return False
--- a/aspenrill/engines/tds.py
+++ b/aspenrill/engines/tds.py
@@ -1,4 +1,4 @@
-"""Engines that speak TDS: an attempt is one SQLBatch on a connection of its own while it runs."""
+"""TDS engines: an attempt is one SQLBatch, with a connection of its own while it runs."""
 
 from __future__ import annotations
 
@@ -13,16 +13,18 @@
 from ..net.connecting import Refused
 from ..net.hub import Closed, Hub, TimedOut
 from ..wire import Malformed, tds
-from .base import AFRESH, Engines, Over
+from .base import MAX_BROKEN_CONNECTIONS, AttemptEnded, Engines
 from .pool import Pools
 
-ATTEND_FOR = 0.6  # seconds for an Attention to be acknowledged
-PROBE_FOR = 1.0
-NEVER_RAN = frozenset({10928, 10929, 17809})  # errors that turn a request away unseen: full
+ATTENTION_TIMEOUT = 0.6  # seconds for an Attention to be acknowledged
+PROBE_TIMEOUT = 1.0  # seconds for a probe
+REJECTED_ERRORS = frozenset(
+    {10928, 10929, 17809}
+)  # error numbers of a full engine, which did not run the request
 
 
 def read_packet(conn: Connection, until: float) -> tuple[int, bool, bytes]:
-    """Type, whether it ends its message, and content. A wait that is cut short loses nothing of it."""
+    """Reads a packet: type, whether it ends its message, content. An interrupted wait loses no data."""
     conn.wait_for_bytes(tds.HEAD.size, until)
     kind, status, size = tds.packet_head(conn.incoming.peek(tds.HEAD.size))
     if size + tds.HEAD.size > tds.PACKET:
@@ -33,7 +35,7 @@
 
 
 def read_tokens(conn: Connection, reader: tds.TokenReader, until: float) -> int | None:
-    """The rest of a message into the reader; the kind of its first token."""
+    """Reads the rest of a message into the reader; returns the type of its first token."""
     last, first = False, None
     while not last:
         kind, last, data = read_packet(conn, until)
@@ -48,9 +50,9 @@
 
 
 def logging_in(user: str, app: str) -> Callable[[Connection, float], None]:
-    """Opens a session on a new connection: PRELOGIN and LOGIN7, each answered in time."""
+    """Returns the handshake of a new connection: PRELOGIN and LOGIN7."""
 
-    def greet(conn: Connection, until: float) -> None:
+    def handshake(conn: Connection, until: float) -> None:
         keepalive = ((socket.SO_KEEPALIVE, 1),)
         for option, value in keepalive:
             conn.sock.setsockopt(socket.SOL_SOCKET, option, value)
@@ -69,76 +71,78 @@
         if reader.answer.error or reader.answer.status & tds.BAD:
             raise Malformed(f"login refused: {reader.answer.error}")
 
-    return greet
+    return handshake
 
 
 class TdsEngines(Engines):
-    """Attempts and probes at TDS engines. `most` bounds the bytes of one result."""
+    """Runs attempts and probes on TDS engines. `most`: the limit for the bytes of one result."""
 
-    def __init__(self, hub: Hub, pools: Pools, post: Callable[[Any], None], most: int) -> None:
+    def __init__(self, hub: Hub, pools: Pools, post: Callable[[Any], None], max_result_bytes: int) -> None:
         super().__init__(hub, pools, post)
-        self.most = most
+        self.max_result_bytes = max_result_bytes
 
     def probe(self, peer: Peer) -> None:
-        """Whether it takes a session; one Probed follows."""
+        """Tests whether the engine accepts a session, in a task of its own, which posts one Probed."""
         self.hub.spawn(self._probe, peer, name="probe")
 
-    def _carry(self, attempt: Attempt) -> None:
+    def _execute(self, attempt: Attempt) -> None:
         statement = attempt.call.statement.decode("utf-8")
-        conn = self._begin(attempt, lambda: [tds.packets(tds.SQL_BATCH, tds.sql_batch(statement))])
+        conn = self._send_request(attempt, lambda: [tds.packets(tds.SQL_BATCH, tds.sql_batch(statement))])
         if conn is None:
-            attempt.asked = None  # a session ends with its connection, and its batch with it
-            raise Over(Outcome.RESET)
-        reader = tds.TokenReader(self.most)
+            attempt.asked = None  # the session and its batch end with the connection
+            raise AttemptEnded(Outcome.RESET)
+        reader = tds.TokenReader(self.max_result_bytes)
         attempt.state = (conn, reader)
         try:
             first = read_tokens(conn, reader, attempt.until)
         except Closed:
-            self._drop(attempt)
-            raise Over(Outcome.RESET) from None
+            self._drop_connection(attempt)
+            raise AttemptEnded(Outcome.RESET) from None
         except Malformed:
-            self._drop(attempt)
-            raise Over(Outcome.ERROR) from None
+            self._drop_connection(attempt)
+            raise AttemptEnded(Outcome.ERROR) from None
         attempt.asked = attempt.state = None
-        self.pools.give(attempt.peer, conn)
+        self.pools.release(attempt.peer, conn)
         answer = reader.answer
         if answer.error or answer.status & (tds.BAD | tds.SERVER_ERROR):
-            full = first == tds.ERROR and answer.error[0] in NEVER_RAN  # what comes before it has run
-            raise Over(Outcome.FULL if full else Outcome.ERROR)
-        raise Over(Outcome.OK, result=Result("tds", (), answer.tokens, answer.rows))
+            full = (
+                first == tds.ERROR and answer.error[0] in REJECTED_ERRORS
+            )  # anything before the error means that it ran
+            raise AttemptEnded(Outcome.FULL if full else Outcome.ERROR)
+        raise AttemptEnded(Outcome.OK, result=Result("tds", (), answer.tokens, answer.rows))
 
-    def _drop(self, attempt: Attempt) -> None:
+    def _drop_connection(self, attempt: Attempt) -> None:
         conn, _ = attempt.state
         attempt.asked = attempt.state = None
-        self.pools.drop(conn)
+        self.pools.close(conn)
 
-    def _stop(self, attempt: Attempt) -> None:
-        """An Attention, acknowledged; else the connection goes, and the session with it."""
+    def _stop_at_engine(self, attempt: Attempt) -> None:
+        """Sends an Attention; closes the connection, and so the session, if it is not acknowledged."""
         if attempt.state is None:
             return
         conn, reader = attempt.state
-        until = time.monotonic() + ATTEND_FOR
+        until = time.monotonic() + ATTENTION_TIMEOUT
         try:
             conn.write(tds.packets(tds.ATTENTION, b""), until)
             while True:
                 if reader.answer.ended:
-                    reader = tds.TokenReader(self.most)
+                    reader = tds.TokenReader(self.max_result_bytes)
                 read_tokens(conn, reader, until)
                 if reader.answer.status & tds.ACKNOWLEDGED:
                     break
-            self.pools.give(attempt.peer, conn)
+            self.pools.release(attempt.peer, conn)
         except (Closed, TimedOut, Malformed):
-            self.pools.drop(conn)
+            self.pools.close(conn)
         attempt.asked = attempt.state = None
 
     def _probe(self, peer: Peer) -> None:
         began, outcome = time.monotonic(), Outcome.OK
-        for again in range(AFRESH):
+        for again in range(MAX_BROKEN_CONNECTIONS):
             try:
-                self.pools.give(peer, self.pools.take(peer, began + PROBE_FOR, fresh=True))
+                self.pools.release(peer, self.pools.take(peer, began + PROBE_TIMEOUT, fresh=True))
                 break
             except Refused as why:
-                if why.broken and again < AFRESH - 1:
+                if why.broken and again < MAX_BROKEN_CONNECTIONS - 1:
                     continue
                 outcome = Outcome.OK if why.exhausted else Outcome.CONNECT_FAILED
                 break
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""An engine that answers from a script, and attempts at it."""
+"""An engine that responds from a script, and attempts sent to it."""
 
 from __future__ import annotations
 
@@ -13,23 +13,27 @@
 from standins.scene import play
 from standins.world import CLASSES, SETTINGS
 
-LONG = 20.0  # seconds that nobody waits for in a run that goes well
+LONG = 20.0  # seconds; a time-out that a passing test never reaches
 BODY = b"a\tb\tc\n"
 OK = b"HTTP/1.1 200 X\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\n" + BODY
 NOTHING = "\r\nContent-Length: 0\r\n\r\n"
 
 
-def say(status: int, *fields: str) -> bytes:
+def response(status: int, *fields: str) -> bytes:
     return "\r\n".join([f"HTTP/1.1 {status} X", *fields]).encode() + NOTHING.encode()
 
 
-SHED, GONE = "X-Shed: 1", b"HTTP/1.1 204 X\r\n\r\n"
-HALF = say(202, "X-Remark: frac", "X-Num: 0.5")
+SHED = "X-Shed: 1"
+GONE = b"HTTP/1.1 204 X\r\n\r\n"
+HALF = response(202, "X-Remark: frac", "X-Num: 0.5")
 
 
-class Script:
-    """One engine and the attempts at it. `answers` are given in turn to what asks for a query: bytes, or what
-    to do with the connection; a DELETE is answered by `delete`."""
+class ScriptedEngine:
+    """One engine and the attempts sent to it.
+
+    `answers` are used in turn for calls other than DELETE: response bytes, or a function of the connection. A
+    DELETE is handled by `delete`.
+    """
 
     def __init__(self, answers=(), connect_for: float = LONG) -> None:
         self.hub, self.logged = Hub(lambda text: self.logged.append(text)), []
@@ -49,19 +53,19 @@
             if head.startswith("delete"):
                 self.delete(conn)
                 continue
-            answer = self.answers.pop(0) if self.answers else say(500)
+            answer = self.answers.pop(0) if self.answers else response(500)
             if callable(answer):
                 answer(conn)
             else:
                 conn.write(answer, time.monotonic() + LONG)
 
-    def far(self):
-        """The engine's end of the only connection."""
+    def engine_side(self):
+        """Returns the engine's side of the only connection."""
         return next(iter(self.listener.connections))
 
-    def start(self, ident: str = "a", cls: str = "once", patience: float = LONG, **changed) -> Attempt:
+    def start(self, id_digit: str = "a", cls: str = "once", time_budget: float = LONG, **changed) -> Attempt:
         now = time.monotonic()
-        call = Call(ident * 16, CLASSES.index(cls), 0, b"x", None, None, now, patience, lambda *_: None)
+        call = Call(id_digit * 16, CLASSES.index(cls), 0, b"x", None, None, now, time_budget, lambda *_: None)
         attempt = Attempt(call, self.peer, 0, call.deadline, 1)
         for name, value in changed.items():
             setattr(attempt, name, value)
@@ -75,7 +79,7 @@
             self.hub.sleep(0.005)
 
     def end(self, attempt: Attempt) -> Ended:
-        """Its end, once told, and no other."""
+        """Waits for the attempt to end; returns its only Ended."""
 
         def mine() -> list[Ended]:
             return [end for end in self.posted if isinstance(end, Ended) and end.attempt is attempt]
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""What an attempt's end proves, whatever its engine does: each engine here answers from a script."""
+"""What the end of an attempt proves, tested with scripted engines."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from scripted import GONE, HALF, LONG, OK, SHED, Script, rows, say
+from scripted import GONE, HALF, LONG, OK, SHED, ScriptedEngine, response, rows
 
 from aspenrill import api
 from aspenrill.core.books import Ended
@@ -19,9 +19,9 @@
 
 
 @pytest.mark.parametrize("begin_by, outcome", [(True, api.Outcome.MOOT), (False, api.Outcome.CONNECT_FAILED)])
-def test_no_connection_is_waited_for_beyond_the_first_byte(monkeypatch, begin_by, outcome):
-    # the request stood behind a dial that could be of no use, and its engine was counted as not reached
-    script = Script(connect_for=LONG if begin_by else 0.05)
+def test_waiting_for_a_connection_ends_at_the_begin_by_time(monkeypatch, begin_by, outcome):
+    # the request waited for a connection it could no longer use, and its engine counted as unreachable
+    script = ScriptedEngine(connect_for=LONG if begin_by else 0.05)
 
     def never(hub, address, until):
         hub.sleep(until - time.monotonic())
@@ -37,14 +37,14 @@
     script.play(scene)
 
 
-def test_a_request_that_is_given_up_hears_of_it_at_its_deadline_while_the_engine_does_not():
-    # it waited for a DELETE, and was failed as one without an answer, with an error for the people on call
-    script = Script([lambda conn: None] * 9)
+def test_a_cancelled_request_ends_at_its_deadline_though_the_engine_does_not_respond():
+    # it waited for the DELETE and failed as unanswered, with an error in the log
+    script = ScriptedEngine([lambda conn: None] * 9)
     heard = Signal(script.hub)
     script.delete = lambda conn: heard.wait(LONG)
 
     def scene() -> None:
-        attempt = script.start(patience=0.6)
+        attempt = script.start(time_budget=0.6)
         script.until(lambda: script.calls)
         script.engines.cancel(attempt)
         script.until(lambda: script.posted)
@@ -56,8 +56,8 @@
     script.play(scene)
 
 
-def test_no_end_is_told_before_the_engine_has_given_up():
-    script = Script([lambda conn: None] * 9)
+def test_no_end_is_posted_before_the_engine_has_stopped():
+    script = ScriptedEngine([lambda conn: None] * 9)
     heard, asked = Signal(script.hub), []
 
     def delete(conn) -> None:
@@ -82,28 +82,28 @@
 @pytest.mark.parametrize(
     "answers, outcome, deleted",
     [
-        ([say(503, SHED)], api.Outcome.FULL, False),
-        ([say(504, SHED)], api.Outcome.MOOT, False),
-        ([say(202), say(503, SHED)], api.Outcome.FULL, False),  # it stood in the engine's line
-        ([say(202, "X-Remark: parked", "X-Num: 1"), say(504, SHED)], api.Outcome.MOOT, False),
-        ([HALF, say(503, SHED)], api.Outcome.ERROR, True),
-        ([HALF, say(504, SHED)], api.Outcome.ERROR, True),
-        ([HALF, say(202), say(503, SHED)], api.Outcome.ERROR, True),
-        ([say(202, "X-Remark: missing", "X-Num: 9"), say(504, SHED)], api.Outcome.ERROR, True),
-        ([say(500)], api.Outcome.ERROR, False),
-        ([say(500, SHED)], api.Outcome.ERROR, False),
-        ([say(503)], api.Outcome.ERROR, True),
-        ([say(504)], api.Outcome.TIMEOUT, True),
-        ([say(503, "X-Shed: 0")], api.Outcome.ERROR, True),
+        ([response(503, SHED)], api.Outcome.FULL, False),
+        ([response(504, SHED)], api.Outcome.MOOT, False),
+        ([response(202), response(503, SHED)], api.Outcome.FULL, False),  # it was queued in the engine
+        ([response(202, "X-Remark: parked", "X-Num: 1"), response(504, SHED)], api.Outcome.MOOT, False),
+        ([HALF, response(503, SHED)], api.Outcome.ERROR, True),
+        ([HALF, response(504, SHED)], api.Outcome.ERROR, True),
+        ([HALF, response(202), response(503, SHED)], api.Outcome.ERROR, True),
+        ([response(202, "X-Remark: missing", "X-Num: 9"), response(504, SHED)], api.Outcome.ERROR, True),
+        ([response(500)], api.Outcome.ERROR, False),
+        ([response(500, SHED)], api.Outcome.ERROR, False),
+        ([response(503)], api.Outcome.ERROR, True),
+        ([response(504)], api.Outcome.TIMEOUT, True),
+        ([response(503, "X-Shed: 0")], api.Outcome.ERROR, True),
         ([GONE, OK], api.Outcome.OK, False),
-        ([say(404), OK], api.Outcome.OK, False),
-        ([say(200), OK], api.Outcome.OK, False),
+        ([response(404), OK], api.Outcome.OK, False),
+        ([response(200), OK], api.Outcome.OK, False),
         ([GONE] * 9, api.Outcome.ERROR, True),
     ],
 )
-def test_what_answers_prove(answers, outcome, deleted):
-    # a second answer to another call, or a word for both, was taken for this one's end while it ran
-    script = Script(answers)
+def test_outcomes_of_responses(answers, outcome, deleted):
+    # the response to another call was taken for the end of this one while it still ran
+    script = ScriptedEngine(answers)
 
     def scene() -> None:
         assert script.end(script.start()).outcome is outcome
@@ -115,19 +115,19 @@
 
 @pytest.mark.parametrize("cls", ["once", "lookup"])
 @pytest.mark.parametrize("how", ["reset", "end", "reset unread", "read, then reset"])
-def test_a_byte_that_the_system_took_may_have_run(monkeypatch, cls, how):
-    # the engine's end comes between the last look at an idle connection and the write
-    script = Script([OK, None, OK] if how == "read, then reset" else [OK])
+def test_a_request_of_which_a_byte_was_sent_may_have_run(monkeypatch, cls, how):
+    # the engine closes between the last check of an idle connection and the write
+    script = ScriptedEngine([OK, None, OK] if how == "read, then reset" else [OK])
     reset = struct.pack("ii", 1, 0)
 
     def scene() -> None:
         assert script.end(script.start()).outcome is api.Outcome.OK
-        mine, far = script.peer.idle[0], script.far()
+        mine, engine_side = script.peer.idle[0], script.engine_side()
 
         def cut(conn=None) -> None:
             if how != "end":
-                far.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset)
-            far.close()
+                engine_side.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset)
+            engine_side.close()
             if conn is None:
                 script.until(lambda: mine.peer_closed())
 
@@ -136,19 +136,19 @@
         else:
             write = mine.write_parts
 
-            def crossed(parts, until) -> None:
+            def write_during_close(parts, until) -> None:
                 if how == "reset unread":
                     write(parts, until)
-                    cut(far)  # before the engine's task has read
+                    cut(engine_side)  # before the engine's task reads
                 else:
                     cut()
                     write(parts, until)
 
-            mine.write_parts = crossed
+            mine.write_parts = write_during_close
         attempt = script.start("b", cls)
         end = script.end(attempt)
         posts = sum(call.startswith("post") for call in script.calls)
-        if how == "reset":  # the system took not a byte
+        if how == "reset":  # the kernel accepted no byte
             assert end.outcome is api.Outcome.OK and posts == 2
         else:
             assert not end.outcome.never_ran and posts == 1 + (how == "read, then reset")
@@ -172,7 +172,7 @@
         (b"\xaa\x01", api.Outcome.ERROR),
     ],
 )
-def test_only_an_error_before_all_else_proves_that_a_batch_was_turned_away(tokens, outcome):
+def test_only_an_initial_error_proves_that_a_batch_was_rejected(tokens, outcome):
     world, seen = World("tds", 1), []
 
     def scene() -> None:
@@ -187,11 +187,11 @@
 
 
 @pytest.mark.parametrize("cls", ["once", "lookup"])
-@pytest.mark.parametrize("how", ["while idle", "with the answer", "at the last look"])
-def test_a_second_answer_is_not_taken_for_that_to_the_next_call(monkeypatch, cls, how):
-    # once one has come, a connection rests before the next call: the second answer comes to light then
-    script = Script([rows(b"a")])
-    monkeypatch.setattr(pool, "SETTLE", 1.0)
+@pytest.mark.parametrize("how", ["while idle", "with the answer", "at the last check"])
+def test_a_duplicate_response_is_not_taken_for_the_next_one(monkeypatch, cls, how):
+    # after unexpected data, connections settle before the next call, so that a duplicate is noticed
+    script = ScriptedEngine([rows(b"a")])
+    monkeypatch.setattr(pool, "SETTLE_TIME", 1.0)
     second = []
 
     def late(conn) -> None:
@@ -203,33 +203,33 @@
             script.answers = [rows(b"a") * 2]
         assert script.end(script.start()).outcome is api.Outcome.OK
         if how != "with the answer":
-            mine, far, quiet = script.peer.idle[0], script.far(), script.peer.idle[0].is_idle
+            mine, engine_side, quiet = script.peer.idle[0], script.engine_side(), script.peer.idle[0].is_idle
 
-            def look() -> bool:
-                far.sock.send(rows(b"a"))
+            def check() -> bool:
+                engine_side.sock.send(rows(b"a"))
                 script.until(lambda: mine.peer_closed() is None)
                 return quiet()
 
             if how == "while idle":
-                far.sock.send(rows(b"a"))
+                engine_side.sock.send(rows(b"a"))
                 script.until(lambda: not mine.open)
             else:
-                mine.is_idle = look
+                mine.is_idle = check
         script.answers = [rows(b"b")]
         script.end(script.start("b"))
         script.until(lambda: len(script.listener.connections) == 1)
-        script.answers, far = [late], script.far()
+        script.answers, engine_side = [late], script.engine_side()
         third = script.start("c", cls)
         for _ in range(5):
             script.hub.give_way()
-        second.append(far.sock.send(rows(b"b")))  # the call is on its way by now, or waits
+        second.append(engine_side.sock.send(rows(b"b")))  # by now the call has been sent, or waits
         assert script.end(third).result.pages == (b"\t\tc\n",)
 
     script.play(scene)
 
 
-def test_the_answer_to_another_call_does_not_end_a_giving_up():
-    script = Script([lambda conn: None] * 9)
+def test_the_response_to_another_call_does_not_end_a_cancel():
+    script = ScriptedEngine([lambda conn: None] * 9)
     said = [OK, GONE]
     script.delete = lambda conn: conn.write(said.pop(0), time.monotonic() + LONG)
 
@@ -243,21 +243,21 @@
 
 
 def endless(start: bytes, more: bytes, pause: float = 0.0):
-    def say_on(conn) -> None:
+    def respond(conn) -> None:
         conn.write(start, time.monotonic() + LONG)
         while True:
             conn.write(more, time.monotonic() + LONG)
             conn.hub.sleep(pause)
 
-    return say_on
+    return respond
 
 
 def broken(start: bytes):
-    def say_less(conn) -> None:
+    def respond(conn) -> None:
         conn.write(start, time.monotonic() + LONG)
         conn.close()
 
-    return say_less
+    return respond
 
 
 @pytest.mark.parametrize(
@@ -277,12 +277,14 @@
         broken(b"HTTP/1.1 503 X\r\nX-Shed: 1\r\nContent-Length: 9\r\n\r\n"),
     ],
 )
-def test_an_answer_that_has_no_end_is_bounded_and_asked_for_again(spoilt):
-    script = Script([spoilt, rows(b"a")])
+def test_an_endless_response_is_bounded_and_requested_again(spoilt):
+    script = ScriptedEngine([spoilt, rows(b"a")])
 
     def scene() -> None:
         end = script.end(script.start())
         assert end.result is not None and end.result.pages == (b"\t\ta\n",)
-        script.until(lambda: script.pools.count == len(script.peer.idle) == 1)  # the other is closed
+        script.until(
+            lambda: script.pools.count == len(script.peer.idle) == 1
+        )  # the other connection is closed
 
     script.play(scene)
--- a/tests/test_attempts_ended.py
+++ b/tests/test_attempts_ended.py
@@ -1,11 +1,11 @@
-"""What becomes of an attempt that is cancelled, or whose engine drains or is replaced, at each stage."""
+"""Attempts that are cancelled, or whose engine drains or is replaced, at each stage."""
 
 from __future__ import annotations
 
 import time
 
 import pytest
-from scripted import GONE, LONG, Script, rows, say
+from scripted import GONE, LONG, ScriptedEngine, response, rows
 
 from aspenrill import api
 from aspenrill.core.books import Attempt
@@ -14,8 +14,8 @@
 from aspenrill.net.hub import Signal
 
 
-def leave(script: Script, attempt: Attempt, how: str) -> None:
-    """What can become of an attempt, or of its engine, from outside."""
+def apply_change(script: ScriptedEngine, attempt: Attempt, how: str) -> None:
+    """Cancels the attempt, or drains or replaces its engine."""
     if how == "cancelled":
         script.engines.cancel(attempt)
         return
@@ -27,23 +27,23 @@
 
 
 @pytest.mark.parametrize("how", HOWS)
-@pytest.mark.parametrize("where", ["not begun", "dialing", "in line"])
-def test_an_attempt_without_a_byte_is_moot_whatever_becomes_of_it(monkeypatch, where, how):
-    script = Script()
+@pytest.mark.parametrize("where", ["not begun", "dialing", "queued"])
+def test_an_attempt_that_sent_no_byte_ends_as_moot(monkeypatch, where, how):
+    script = ScriptedEngine()
     gate = Signal(script.hub)
-    monkeypatch.setattr(pool, "MOST_DIALING", 1)
+    monkeypatch.setattr(pool, "MAX_DIALS", 1)
 
-    def hold(hub, address, until):
+    def refuse_later(hub, address, until):
         gate.wait(LONG)
         raise Refused("ECONNREFUSED")
 
     def scene() -> None:
-        monkeypatch.setattr(pool, "connect", hold)
-        before = [script.start("d")] if where == "in line" else []
+        monkeypatch.setattr(pool, "connect", refuse_later)
+        before = [script.start("d")] if where == "queued" else []
         attempt = script.start()
         for _ in range(0 if where == "not begun" else 3):
             script.hub.give_way()
-        leave(script, attempt, how)
+        apply_change(script, attempt, how)
         for _ in range(3):
             script.hub.give_way()
         gate.set()
@@ -60,24 +60,24 @@
 
 @pytest.mark.parametrize("how", HOWS)
 @pytest.mark.parametrize("where", ["pause", "silence"])
-def test_a_query_that_is_out_meets_a_cancel_or_its_engines_end_of_work(where, how):
-    # silence: it is asked for on another connection, and the first is read to its answer's end by itself
+def test_a_running_query_under_cancel_drain_and_replacement(where, how):
+    # silence: it is polled on another connection, and the response on the first one is read separately
     go = []
 
-    def held(answer: bytes):
-        def say_late(conn) -> None:
+    def delayed(answer: bytes):
+        def respond_late(conn) -> None:
             script.until(lambda: go)
             conn.write(answer, time.monotonic() + LONG)
 
-        return say_late
+        return respond_late
 
-    first = say(202, "X-Remark: frac", "X-Num: 0.1") if where == "pause" else held(say(202))
-    script = Script([first, held(rows(b"a"))])
+    first = response(202, "X-Remark: frac", "X-Num: 0.1") if where == "pause" else delayed(response(202))
+    script = ScriptedEngine([first, delayed(rows(b"a"))])
 
     def scene() -> None:
         attempt = script.start(began=time.monotonic() - 4.0)
         script.until(lambda: script.peer.idle if where == "pause" else len(script.calls) > 1)
-        leave(script, attempt, how)
+        apply_change(script, attempt, how)
         go.append(True)
         end = script.end(attempt)
         if how == "cancelled":
@@ -90,9 +90,9 @@
     script.play(scene)
 
 
-@pytest.mark.parametrize("when, told", [("before", False), ("while", True), ("after", False)])
-def test_a_priority_is_told_only_of_what_is_out(when, told):
-    script = Script([lambda conn: None, GONE])
+@pytest.mark.parametrize("when, sent", [("before", False), ("while", True), ("after", False)])
+def test_a_priority_is_sent_only_for_an_attempt_in_flight(when, sent):
+    script = ScriptedEngine([lambda conn: None, GONE])
     asked = []
 
     def delete(conn) -> None:
@@ -110,12 +110,12 @@
             script.engines.cancel(attempt)
             script.until(lambda: asked)
         script.engines.rank(attempt, 3)
-        script.until(lambda: len(script.calls) > told)
+        script.until(lambda: len(script.calls) > sent)
         for _ in range(20):
             script.hub.give_way()
         asked.append(None)
         script.engines.cancel(attempt)
         script.end(attempt)
-        assert any(call.startswith("put") for call in script.calls) == told
+        assert any(call.startswith("put") for call in script.calls) == sent
 
     script.play(scene)
--- a/tests/test_both_connections.py
+++ b/tests/test_both_connections.py
@@ -75,7 +75,7 @@
     world = World(protocol, 1)
 
     def play():
-        world.node.pools.most = 2
+        world.node.pools.max_connections = 2
         world.engines[0].act = lambda s: Act(after=0.02)
         clients = [world.client() for _ in range(6)]
         for client in clients:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""How long a query may go unasked, and what answers of engines prove."""
+"""Polling intervals of HTTP attempts, and what responses of engines prove."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from aspenrill import api
 from aspenrill.core.books import Attempt, Call, Peer
 from aspenrill.engines import pool
-from aspenrill.engines.http import PAUSE_MOST, HttpEngines, meter
+from aspenrill.engines.http import MAX_PAUSE, HttpEngines, parse_load_report
 from aspenrill.net.connecting import Refused
 from aspenrill.net.hub import Hub
 from aspenrill.wire import http1
@@ -18,17 +18,17 @@
 
 
 class Pools:
-    """Counts what is given back; takes nothing."""
+    """A pool that does nothing."""
 
     def take(self, *_):
         return "another"
 
-    def give(self, *_):
+    def release(self, *_):
         pass
 
 
 def paused(state, share: float, ran: float, is_load: bool = False) -> float:
-    """How long an attempt that began `ran` seconds ago is left unasked after a note."""
+    """Returns the pause before the next poll of an attempt that began `ran` seconds ago."""
     hub, found = Hub(lambda text: None), []
     spec = api.QueryClass(1, 5, api.Effect.SAFE, is_load=is_load)
     settings = api.Settings(classes=(spec,), cores_by_kind=(8,))
@@ -44,23 +44,23 @@
 
 
 @pytest.mark.parametrize(
-    "state, share, ran, least, most",
+    "state, share, ran, minimum, maximum",
     [
         (None, 0.5, 1.0, 0.45, 0.55),
-        (None, 0.01, 1.0, PAUSE_MOST, PAUSE_MOST),
+        (None, 0.01, 1.0, MAX_PAUSE, MAX_PAUSE),
         (None, 0.99, 1.0, 0, 0),
-        ((0.2, 0.0), 0.2, 5.0, 0.35, 0.45),  # stood still for long: only what it did since counts
+        ((0.2, 0.0), 0.2, 5.0, 0.35, 0.45),  # stalled for long: only the progress since then counts
         ((0.2, 0.4), 0.6, 5.0, 0.15, 0.25),
         ((0.2, 0.5), 0.5, 5.0, 0, 0),
     ],
 )
-def test_a_query_is_left_unasked_for_a_part_of_what_its_pace_leaves(state, share, ran, least, most):
-    # one that had waited for a load was taken for a slow one, and its end was seen up to a second late
-    assert least - 0.01 <= paused(state, share, ran) <= most + 0.01 < 1.5
+def test_a_query_is_polled_after_a_share_of_its_estimated_remaining_time(state, share, ran, minimum, maximum):
+    # a query that had waited for a load counted as slow, and its end was noticed up to a second late
+    assert minimum - 0.01 <= paused(state, share, ran) <= maximum + 0.01 < 1.5
 
 
-def test_a_load_is_asked_often():
-    # the next load of its group starts when its end is seen
+def test_a_load_is_polled_often():
+    # the next load of its group starts when its end is noticed
     assert paused(None, 0.1, 1.0, is_load=True) <= 0.1
 
 
@@ -77,11 +77,11 @@
 )
 def test_only_a_marked_refusal_proves_that_nothing_ran(status, fields, outcome):
     engines = HttpEngines(Hub(lambda text: None), Pools(), SETTINGS, CLASSES, print)
-    assert engines._refusal(http1.Head(status, fields)) is outcome
+    assert engines._error_outcome(http1.Head(status, fields)) is outcome
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, values",
     [
         ("load_share:0.5;depth:3", (0.5, 3.0)),
         ("util:0.5", (0.5, 0.0)),
@@ -91,20 +91,20 @@
         ("other:1", None),
     ],
 )
-def test_load_reports(text, told):
-    assert meter(text, ("util", "queue")) == told
+def test_load_reports(text, values):
+    assert parse_load_report(text, ("util", "queue")) == values
 
 
-def test_an_engine_that_does_not_accept_is_not_stormed(monkeypatch):
-    # each try lengthened the line of a stalled engine by one that nobody would use any more
-    hub, now, most, tries = Hub(lambda text: None), [0], [0], [0]
+def test_connection_attempts_to_an_engine_that_does_not_accept_are_limited(monkeypatch):
+    # each attempt lengthened the backlog of a stalled engine by a connection that nobody would use
+    hub, running, peak, tries = Hub(lambda text: None), [0], [0], [0]
 
     def dial(hub, address, until):
         tries[0] += 1
-        now[0] += 1
-        most[0] = max(most[0], now[0])
+        running[0] += 1
+        peak[0] = max(peak[0], running[0])
         hub.sleep(0.05)
-        now[0] -= 1
+        running[0] -= 1
         raise Refused("no connection in time")
 
     monkeypatch.setattr(pool, "connect", dial)
@@ -121,7 +121,7 @@
     for _ in range(200):
         hub.spawn(take)
     hub.run()
-    assert most[0] <= pool.MOST_DIALING and tries[0] <= 3 * pool.MOST_DIALING and pools.count == 0
+    assert peak[0] <= pool.MAX_DIALS and tries[0] <= 3 * pool.MAX_DIALS and pools.count == 0
 
 
 MANY = [(str(i), "x" * 40, "end") for i in range(200)]
@@ -141,8 +141,8 @@
     ],
 )
 @pytest.mark.parametrize("rows", [ROWS, MANY], ids=["one page", "pages"])
-def test_a_spoilt_answer_is_asked_for_again_and_never_passed_on(spoil, rows):
-    # the query has run, and its engine gives its end again: running it anew wasted that, or failed it
+def test_an_unreadable_response_is_requested_again_and_never_forwarded(spoil, rows):
+    # the query has run and its engine still has the result: running it again wasted work, or failed it
     world = World("thrift", 1)
 
     def play():
@@ -159,7 +159,7 @@
             say(conn, status, fields, body)
             conn.write = write
             conn.write(spoil(written[0]), time.monotonic() + 5)
-            world.hub.sleep(3)  # the connection stays open, and is of no further use
+            world.hub.sleep(3)  # the connection stays open but is useless
 
         engine.say = spoilt
         assert world.client("once").ask("select 1") == Reply("served", rows)
@@ -169,8 +169,8 @@
 
 
 @pytest.mark.parametrize("more", [b"\0noise", b"again", b"HTTP/1.1 100 X\r\n\r\n"])
-def test_bytes_beyond_an_answer_end_its_connection_and_the_answer_stands(more):
-    # a second copy would be taken for the answer to the next call
+def test_data_after_a_response_closes_the_connection_and_keeps_the_response(more):
+    # a second copy would be taken for the response to the next call
     world = World("thrift", 1)
 
     def play():
@@ -194,14 +194,16 @@
     world.run(play)
 
 
-@pytest.mark.parametrize("broke, least, most", [(False, 1.8, 6.0), (True, 0.0, 1.0)])
-def test_a_refused_connection_alone_does_not_prove_that_a_query_has_ended(monkeypatch, broke, least, most):
-    # an engine with no connection to spare runs on what it has: a second try ran beside the first
+@pytest.mark.parametrize("broke, minimum, maximum", [(False, 1.8, 6.0), (True, 0.0, 1.0)])
+def test_a_refused_connection_alone_does_not_prove_that_a_query_has_ended(
+    monkeypatch, broke, minimum, maximum
+):
+    # an engine without free connections goes on with its queries: a second attempt ran beside the first
     world = World("thrift", 1)
 
     def play():
         engine = world.engines[0]
-        engine.news = lambda conn, ident: world.hub.sleep(60)  # nothing is said on the connection that it has
+        engine.news = lambda conn, ident: world.hub.sleep(60)  # no response on the existing connection
         client = world.client("once", 20.0)
         client.send("select 1")
         world.until(lambda: engine.began)
@@ -218,6 +220,6 @@
         else:
             world.node.owner.engines.cancel(attempt)
         world.until(lambda: call.attempt is not attempt, 10.0)
-        assert least < time.monotonic() - began < most
+        assert minimum < time.monotonic() - began < maximum
 
     world.run(play)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The ordinary path's short ways: each as the long way has it, and under the failures that could break it."""
+"""The fast paths: each gives the result of the general code, also when system calls fail."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from standins.scene import play
 from standins.world import SETTINGS, World
 
-ROOMY = replace(SETTINGS, cores_by_kind=(64,))  # nothing is held for want of room
+ROOMY = replace(SETTINGS, cores_by_kind=(64,))  # enough capacity that no request is queued
 EXAMPLES = dict(derandomize=True, deadline=None, max_examples=300, database=None)
 
 
-# ---- short ways are the long ways ---------------------------------------------------------------------
+# ---- fast paths against the general code -----------------------------------------------------------------
 
 TEXT = st.binary(max_size=20)
 
@@ -45,7 +45,7 @@
     st.binary(max_size=9),
     st.binary(max_size=9),
 )
-def test_a_usual_call_reads_as_the_general_reader_reads_it(seqid, fields, body, before, after):
+def test_the_fast_reader_agrees_with_the_general_reader(seqid, fields, body, before, after):
     data = frame_of(seqid, fields, body)
     found = thrift.read_serve(before + data + after, len(before), len(before) + len(data))
     assert found == (seqid, fields, body)
@@ -60,7 +60,7 @@
     st.lists(st.tuples(st.integers(0, 200), st.integers(0, 255)), max_size=4),
     st.integers(-9, 9),
 )
-def test_a_spoilt_call_is_left_to_the_general_reader_or_read_alike(fields, body, changes, cut):
+def test_a_corrupted_call_is_left_to_the_general_reader_or_read_equally(fields, body, changes, cut):
     data = bytearray(frame_of(1, fields, body))
     for at, value in changes:
         data[at % len(data)] = value
@@ -112,7 +112,7 @@
 @example("select a from sales_17.orders where id = 5")
 @example("select 1.5 from b_22")
 @example("9a_3.x")
-def test_the_group_of_a_plain_statement_is_found_as_of_any_other(statement):
+def test_the_fast_table_group_agrees_with_the_general_one(statement):
     assert sql.table_group(statement) == sql._table_group(statement)
 
 
@@ -122,7 +122,7 @@
         st.tuples(st.sampled_from(["fill", "pull", "peek", "drop", "find"]), st.integers(0, 40)), max_size=40
     )
 )
-def test_an_inbox_gives_what_came_in_its_order(steps):
+def test_an_inbox_returns_data_in_order(steps):
     box, held, number = Inbox(64), b"", 0
     for what, count in steps:
         if what == "fill":
@@ -153,11 +153,11 @@
         assert len(box) == len(held) and box.free == 64 - len(held)
 
 
-# ---- writes and reads that come short -----------------------------------------------------------------
+# ---- short and failing reads and writes ------------------------------------------------------------------
 
 
-def test_a_vectored_write_may_stop_at_each_byte():
-    # what the system did not take follows, neither lost nor twice
+def test_a_vectored_write_may_be_short_at_any_byte():
+    # the unsent rest must follow, neither lost nor duplicated
     parts = [b"ab", b"", b"cdefg", b"h", b"ijk"]
     whole = b"".join(parts)
     hub = Hub()
@@ -179,14 +179,14 @@
 @pytest.mark.parametrize(
     "error", [InterruptedError(errno.EINTR, "x"), BlockingIOError(errno.EAGAIN, "x")], ids=["EINTR", "EAGAIN"]
 )
-def test_calls_that_are_interrupted_or_not_ready_are_made_again(error):
+def test_interrupted_and_blocked_calls_are_repeated(error):
     hub = Hub()
 
     def scene():
         conn, theirs = failing_pair(hub, recv=[error], recv_into=[error], send=[error], sendmsg=[error])
         theirs.sendall(b"12345")
         assert conn.read(3, time.monotonic() + 5) == b"123"
-        conn.incoming.space()  # what is left moves into the ring
+        conn.incoming.space()  # the rest moves into the ring
         theirs.sendall(b"678")
         conn.wait_for_bytes(5, time.monotonic() + 5)
         assert conn.read(5, time.monotonic() + 5) == b"45678"
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("call", ["recv", "send", "sendmsg"])
-def test_errors_of_the_system_close_what_they_meet(call):
+def test_fatal_errors_close_the_connection(call):
     hub = Hub()
 
     def scene():
@@ -217,7 +217,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.EINTR, errno.EAGAIN, errno.EMFILE, errno.ECONNABORTED])
-def test_a_listener_outlives_each_error_of_accept(code):
+def test_a_listener_survives_each_error_of_accept(code):
     hub, served = Hub(lambda text: None), []
     listener = Listener(hub, ("127.0.0.1", 0), served.append, 5, "front")
     failing, accept = [OSError(code, "x"), OSError(code, "x")], listener.sock.accept
@@ -255,17 +255,17 @@
         (errno.ECONNREFUSED, False, False),
     ],
 )
-def test_each_error_of_connect_means_what_it_means(monkeypatch, code, comes_up, exhausted):
+def test_errors_of_connect_are_classified(monkeypatch, code, comes_up, exhausted):
     hub, server = Hub(), socket.create_server(("127.0.0.1", 0))
 
-    class Told(socket.socket):
+    class ScriptedSocket(socket.socket):
         def connect_ex(self, address):
             if comes_up:
                 super().connect_ex(address)
             return code
 
     def scene():
-        monkeypatch.setattr("aspenrill.net.conn.socket.socket", Told)
+        monkeypatch.setattr("aspenrill.net.conn.socket.socket", ScriptedSocket)
         if comes_up:
             connect(hub, server.getsockname(), time.monotonic() + 5).close()
         else:
@@ -277,7 +277,7 @@
     server.close()
 
 
-def test_no_descriptor_for_an_engine_is_a_refusal_that_proves_nothing_ran(monkeypatch):
+def test_descriptor_exhaustion_proves_that_nothing_ran(monkeypatch):
     world = World("thrift", 1)
 
     def run():
@@ -286,14 +286,14 @@
         world.node.pools.retire(next(iter(world.node.owner.peers.values())))
         real, failing = socket.socket, [3]
 
-        class Scarce(real):
+        class ExhaustedSocket(real):
             def __init__(self, *args, **more):
                 if failing[0] and not more and args[1:2] == (socket.SOCK_STREAM,):
                     failing[0] -= 1
                     raise OSError(errno.EMFILE, "Too many open files")
                 super().__init__(*args, **more)
 
-        monkeypatch.setattr("aspenrill.net.conn.socket.socket", Scarce)
+        monkeypatch.setattr("aspenrill.net.conn.socket.socket", ExhaustedSocket)
         assert client.ask("insert 2").kind == "served" and not failing[0]
         assert world.engines[0].statements == ["select 1", "insert 2"]
 
--- a/tests/test_path_many.py
+++ b/tests/test_path_many.py
@@ -1,4 +1,4 @@
-"""Many requests on one connection: answers that leave together, slow readers, ends half way."""
+"""Many requests on one connection: answers sent together, slow readers, closes half-way."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from standins.scene import play
 from standins.world import ROWS, SETTINGS, Act, World
 
-ROOMY = replace(SETTINGS, cores_by_kind=(64,))  # nothing is held for want of room
+ROOMY = replace(SETTINGS, cores_by_kind=(64,))  # enough capacity that no request is queued
 
 
-def together(world: World, client, statements: list[str]) -> None:
-    """All requests in one segment."""
+def send_together(world: World, client, statements: list[str]) -> None:
+    """Sends all requests in one segment."""
     written, client.conn.write = [], lambda data, until: written.append(data)
     for statement in statements:
         client.send(statement)
@@ -31,12 +31,12 @@
     client.conn.write(b"".join(written), time.monotonic() + 5)
 
 
-def numbered(client, count: int) -> list[Reply]:
+def read_replies(client, count: int) -> list[Reply]:
     return [client.read(10) for _ in range(count)]
 
 
-def test_32_requests_in_one_segment_and_32_answers_at_once_one_of_them_spoilt():
-    # the spoilt one is asked for again, and holds up none of the others
+def test_32_requests_in_one_segment_with_one_unreadable_response():
+    # it is requested again and does not delay the others
     world = World("thrift", 1, ROOMY)
 
     def run():
@@ -45,8 +45,8 @@
             max(0.0, at[0] - time.monotonic()), s.endswith(" 17"), rows=[(s, "a", "b")]
         )
         client = world.client()
-        together(world, client, [f"select {i}" for i in range(32)])
-        replies = numbered(client, 32)
+        send_together(world, client, [f"select {i}" for i in range(32)])
+        replies = read_replies(client, 32)
         assert {reply.kind for reply in replies} == {"served"}
         assert sorted(reply.rows[0][0] for reply in replies) == sorted(f"select {i}" for i in range(32))
         assert world.engines[0].statements.count("select 17") == 1
@@ -54,19 +54,19 @@
     world.run(run)
 
 
-def test_one_of_several_answers_that_go_out_together_is_cancelled():
+def test_one_of_several_answers_sent_together_is_cancelled():
     world = World("thrift", 1, ROOMY)
 
     def run():
         world.engines[0].act = lambda s: Act(after=0.4, rows=[(s, "a", "b")])
         client = world.client()
-        together(world, client, [f"select {i}" for i in range(4)])
+        send_together(world, client, [f"select {i}" for i in range(4)])
         world.until(lambda: len(world.engines[0].began) == 4)
         client.conn.write(
             thrift.frame(thrift.ONEWAY, "forget", 0, thrift.field(thrift.I32, 1, struct.pack(">i", 2))),
             time.monotonic() + 5,
         )
-        found = sorted(reply.rows[0][0] for reply in numbered(client, 3))
+        found = sorted(reply.rows[0][0] for reply in read_replies(client, 3))
         assert found == ["select 0", "select 2", "select 3"]
         assert client.ask("select 9").rows[0][0] == "select 9"
         assert world.engines[0].stopped == ["select 1"]
@@ -74,7 +74,7 @@
     world.run(run)
 
 
-def test_a_client_that_closes_half_way_through_a_joint_answer():
+def test_a_client_that_closes_during_joint_answers():
     world = World("thrift", 1, ROOMY)
 
     def run():
@@ -82,7 +82,7 @@
         world.engines[0].act = lambda s: Act(after=0.2, rows=wide)
         client = world.client()
         client.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        together(world, client, [f"select {i}" for i in range(16)])
+        send_together(world, client, [f"select {i}" for i in range(16)])
         world.until(lambda: len(world.engines[0].ended) == 16)
         client.conn.fill(time.monotonic() + 5)
         client.close()
@@ -94,7 +94,7 @@
 
 
 def test_reports_of_40_pages_under_a_slow_reader_stay_bounded():
-    # answers wait in the connection's task, a report is held once, and each comes whole
+    # answers are queued by the writer, each is buffered only once and arrives completely
     world = World("thrift", 1, ROOMY)
     wide = [(str(i), "x" * 40, "end") for i in range(800)]
 
@@ -109,15 +109,17 @@
         [conn] = world.node.fronts[0][1].connections
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
         for _ in range(2):
-            together(world, client, [f"select {i}" for i in range(4)])  # more than the system's buffers take
+            send_together(
+                world, client, [f"select {i}" for i in range(4)]
+            )  # more than the kernel's buffers hold
             world.until(lambda: [o for o in gc.get_objects() if isinstance(o, Session) and o.writer.writing])
             [session] = [o for o in gc.get_objects() if isinstance(o, Session) and o.conn is conn]
-            together(world, client, [f"select {i}" for i in range(4, 12)])
+            send_together(world, client, [f"select {i}" for i in range(4, 12)])
             world.until(lambda: len(engine.ended) == 12)
             world.until(lambda s=session: not s.open_requests and not s.writer._parts)
             size = sum(map(len, engine.pages(Act(rows=wide)))) + 100
-            assert 0 < session.writer._queued_bytes() <= 12 * size, "held more than once, or not at all"
-            for reply in numbered(client, 12):
+            assert 0 < session.writer._queued_bytes() <= 12 * size, "buffered more than once, or not at all"
+            for reply in read_replies(client, 12):
                 assert reply.rows == wide
             world.until(lambda s=session: not s.writer.writing)
             assert not session.writer.queued and not session.service.unread.total
@@ -127,8 +129,8 @@
     world.run(run)
 
 
-def test_what_has_been_answered_goes_out_before_the_connection_ends():
-    # answers wait for the end of a round: one that ends the connection in the same round must not lose them
+def test_finished_answers_are_sent_before_the_connection_closes():
+    # answers are sent at the end of a loop round: a close in the same round must not lose them
     world = World("thrift", 1)
 
     def run():
@@ -136,14 +138,14 @@
         client.conn.write(
             b"".join(thrift.frame(thrift.CALL, "nobody", i, b"") for i in range(1, 17)), time.monotonic() + 5
         )
-        assert [reply.kind for reply in numbered(client, 16)] == ["broken"] * 16
+        assert [reply.kind for reply in read_replies(client, 16)] == ["broken"] * 16
         with pytest.raises(Closed):
             client.read(5)
 
     world.run(run)
 
 
-def test_a_connection_keeps_its_place_until_its_answer_has_gone_out():
+def test_a_connection_is_not_evicted_before_its_answer_is_sent():
     world = World("thrift", 1)
 
     def run():
@@ -157,7 +159,7 @@
     world.run(run)
 
 
-def test_what_the_module_would_refuse_for_being_behind_is_refused_before_it_costs_more():
+def test_requests_are_shed_by_event_loop_lag_before_the_policy_sees_them():
     world = World("thrift", 1)
 
     def run():
@@ -166,19 +168,19 @@
         service.min_shed_after, service.shed_hint = min(service.shed_after), {"holdoff": "250"}
         seen, handle = [], world.node.owner.gateway.handle
         world.node.owner.gateway.handle = lambda now, event: (seen.append(event), handle(now, event))[1]
-        client, worthy = world.client(), world.client("usage-report")
+        client, valuable = world.client(), world.client("usage-report")
         assert client.ask("select 1").rows == ROWS and seen
         seen.clear()
         world.hub.lag = lambda: (service.shed_after[0] + service.shed_after[3]) / 2
         assert client.ask("select 2").kind == "refused" and not seen
-        assert worthy.ask("select 3").kind == "served"  # of more worth: not yet
+        assert valuable.ask("select 3").kind == "served"  # of more worth: not yet shed
         world.hub.lag = lambda: 0.0
         assert client.ask("select 4").kind == "served"
 
     world.run(run)
 
 
-def test_lengths_that_no_frame_may_have_end_the_connection():
+def test_invalid_frame_lengths_end_the_connection():
     hub = Hub()
 
     def scene():
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,4 +1,4 @@
-"""Real processes: ready without discovery, and alive with few descriptors left."""
+"""Front-end processes: ready without discovery, running with few descriptors, and under SIGHUP."""
 
 from __future__ import annotations
 
@@ -33,25 +33,28 @@
 from standins.scene import play
 from standins.world import Act, HttpEngine
 
-WITHIN = 60.0  # seconds of a machine that is busy; all holds much sooner
-TICKS = os.sysconf("SC_CLK_TCK")
-CPU = 5.0  # seconds of a core until ready: half of the ten in which nine of ten have to be
+MAX_WAIT_S = 60.0  # on a busy machine; everything finishes much sooner otherwise
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+MAX_CPU_S = 5.0  # until ready: half of the ten seconds within which nine of ten must be ready
 
 
 class Program:
-    """A front end as a process of its own, and the places that it knows."""
+    """A front end in a process of its own, with the addresses that it knows."""
 
     def __init__(self, folder: Path) -> None:
         self.hub, self.folder = Hub(lambda text: None), folder
-        self.discovery, self.held = socket.socket(), socket.socket()
-        for sock in (self.discovery, self.held):  # bound and not listening: they refuse, and hold their ports
+        self.discovery, self.reserved = socket.socket(), socket.socket()
+        for sock in (
+            self.discovery,
+            self.reserved,
+        ):  # bound but not listening: they refuse connections and keep their ports
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(("127.0.0.1", 0))
-        self.address = self.held.getsockname()
+        self.address = self.reserved.getsockname()
         self.process: Any = None
 
     def start(self, hosts: list[tuple[str, int]], sockets: int) -> None:
-        """With a list that it knows, and so many descriptors."""
+        """Starts it with a known list and a limit of descriptors."""
         path = self.folder / "node.json"
         known = [host(name, port) for name, port in hosts]
         path.write_text(
@@ -82,15 +85,15 @@
         return (self.folder / "log").read_text()
 
     def cpu(self) -> float:
-        """Seconds of a core that it has used."""
+        """Returns the CPU seconds that it has used."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def client(self) -> ThriftClient:
         return ThriftClient(SimpleNamespace(hub=self.hub, address=self.address), "lookup", 5.0)
 
-    def well(self) -> ThriftClient | None:
-        """A client whose question `isWell` was answered with yes."""
+    def well_client(self) -> ThriftClient | None:
+        """Returns a client whose `isWell` call was answered with true, None otherwise."""
         try:
             client = self.client()
             client.seqid = 1
@@ -98,13 +101,13 @@
                 thrift.frame(thrift.CALL, "isWell", 1, thrift.field(2, 1, b"\0")), time.monotonic() + 5
             )
             size = int.from_bytes(client.conn.read(4, time.monotonic() + 5), "big")
-            told = thrift.read_message(client.conn.read(size, time.monotonic() + 5)).args
-            return client if told[0][3] is True else None
+            reply = thrift.read_message(client.conn.read(size, time.monotonic() + 5)).args
+            return client if reply[0][3] is True else None
         except (Refused, Closed, TimedOut):
             return None
 
     def until(self, true: Callable[[], Any]) -> Any:
-        end = time.monotonic() + WITHIN
+        end = time.monotonic() + MAX_WAIT_S
         while not (found := true()):
             assert time.monotonic() < end and self.process.poll() is None, self.log()[-2000:]
             self.hub.sleep(0.05)
@@ -119,27 +122,27 @@
         made.process.kill()
         made.process.wait()
     made.discovery.close()
-    made.held.close()
+    made.reserved.close()
 
 
-@pytest.mark.parametrize("answers", [False, True], ids=["refuses", "is mute"])
+@pytest.mark.parametrize("answers", [False, True], ids=["refuses", "is silent"])
 def test_ready_with_a_list_of_1100_while_discovery_is_down(program, answers):
-    # nothing at the start may wait for discovery, for names or for an engine: none of these is to be had
+    # at start nothing may wait for discovery, name resolution or an engine, none of which is available
     if answers:
         program.discovery.listen(5)
     program.start([(f"s-{number:08x}", program.discovery.getsockname()[1]) for number in range(1100)], 256)
 
     def scene() -> None:
-        program.until(program.well).close()
+        program.until(program.well_client).close()
 
     play(program.hub, scene)
     used = program.cpu()
-    assert used < CPU, used
+    assert used < MAX_CPU_S, used
     assert "error" not in program.log()
 
 
 @pytest.mark.parametrize("sockets", [32, 48])
-def test_idle_clients_and_busy_engines_leave_the_watch_its_descriptor(program, sockets):
+def test_idle_clients_and_busy_engines_leave_discovery_a_descriptor(program, sockets):
     hub, greetings, running, address = program.hub, [], [], program.discovery.getsockname()
     engines = [HttpEngine(hub, f"s-{number:08x}") for number in range(4)]
     for engine in engines:
@@ -147,36 +150,36 @@
     program.start([(engine.name, engine.listener.address[1]) for engine in engines], sockets)
 
     def serve(conn: Connection) -> None:
-        greetings.append(struct.unpack(">Q", conn.read(8, time.monotonic() + WITHIN))[0])
+        greetings.append(struct.unpack(">Q", conn.read(8, time.monotonic() + MAX_WAIT_S))[0])
         while True:
             conn.write(wire.HEAD.pack(9, 1, wire.NOTHING), time.monotonic() + 5)
             hub.sleep(1.0)
 
     def scene() -> None:
-        idle = [program.until(program.well) for _ in range(sockets // 3)]
-        for _ in range(sockets):  # more than it may hold, and these say nothing
+        idle = [program.until(program.well_client) for _ in range(sockets // 3)]
+        for _ in range(sockets):  # more than the limit; these send nothing
             idle.append(program.client())
-        busy = program.until(program.well)
+        busy = program.until(program.well_client)
         for _ in range(30):
             busy.send("slow")
-        program.until(lambda: len(os.listdir(f"/proc/{program.process.pid}/fd")) == sockets)  # none is left
+        program.until(lambda: len(os.listdir(f"/proc/{program.process.pid}/fd")) == sockets)  # all are in use
         dials = program.log().count("bulletin: Refused")
         program.until(lambda: program.log().count("bulletin: Refused") > dials + 1)
         back = Listener(hub, address, serve, 10, "discovery")
         program.until(lambda: greetings)
         running.append(sum(engine.running for engine in engines))
-        fresh = program.until(program.well)
-        assert fresh.ask("quick", WITHIN, timeout="30000").kind == "served"
+        fresh = program.until(program.well_client)
+        assert fresh.ask("quick", MAX_WAIT_S, timeout="30000").kind == "served"
         for listener in [back, *(engine.listener for engine in engines)]:
             listener.close()
 
     play(hub, scene)
-    assert running[0] > sockets // 4  # so it got in although nothing was let go for it
+    assert running[0] > sockets // 4  # so it connected although no engine connection was closed
     assert "bulletin: Refused [" not in program.log() and "error" not in program.log()
 
 
-def test_a_sighup_while_the_program_is_being_loaded_does_not_end_it(tmp_path):
-    # a release may move discovery just when a front end starts; it comes here before the first large part
+def test_a_sighup_during_import_does_not_end_the_process(tmp_path):
+    # a release may move discovery just when a front end starts; the signal arrives before the main import
     (tmp_path / "sitecustomize.py").write_text("""
 import os, signal, sys
 class Finder:
@@ -188,7 +191,7 @@
     env = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
     ended = subprocess.run(
         [sys.executable, "-m", "aspenrill"],
-        timeout=WITHIN,
+        timeout=MAX_WAIT_S,
         capture_output=True,
         text=True,
         env=env | {"PYTHONPATH": f"{tmp_path}:{os.getcwd()}"},
@@ -197,7 +200,7 @@
 
 
 def test_a_sighup_while_the_interpreter_ends_does_not_change_the_exit_code(tmp_path):
-    # the interpreter takes handlers back to the default as it ends; the signal comes right behind that
+    # at exit the interpreter restores the default handlers; the signal arrives right after that
     (tmp_path / "sitecustomize.py").write_text("""
 import os, signal, sys
 class AtTheEnd:
@@ -208,7 +211,7 @@
     env = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
     ended = subprocess.run(
         [sys.executable, "-m", "aspenrill"],
-        timeout=WITHIN,
+        timeout=MAX_WAIT_S,
         capture_output=True,
         text=True,
         env=env | {"PYTHONPATH": f"{tmp_path}:{os.getcwd()}"},
@@ -218,19 +221,19 @@
 
 @pytest.mark.parametrize("after", [0.02, 0.04, 0.06, 0.1])
 def test_a_sighup_in_the_first_moments_does_not_end_it(after):
-    # before it has its handler, by default, the signal ends the process that deploy/balancer.toml starts
+    # before its handler is set, the signal by default ends the process that deploy/balancer.toml starts
     root = Path(__file__).resolve().parent.parent
-    told = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
-    words = told["run"].replace(".venv/bin/python", sys.executable)
+    config = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
+    command = config["run"].replace(".venv/bin/python", sys.executable)
     env = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
-    process = subprocess.Popen(["/bin/sh", "-c", words], cwd=root, env=env, stderr=subprocess.PIPE)
+    process = subprocess.Popen(["/bin/sh", "-c", command], cwd=root, env=env, stderr=subprocess.PIPE)
     time.sleep(after)
     process.send_signal(signal.SIGHUP)
-    assert process.wait(WITHIN) == 2 and b"NODE_CONFIG: not set" in process.stderr.read()
+    assert process.wait(MAX_WAIT_S) == 2 and b"NODE_CONFIG: not set" in process.stderr.read()
 
 
-def test_a_log_that_nobody_reads_does_not_stop_the_program(tmp_path):
-    # standard error is a pipe of one page, whose reader stands still; each refusal is a line
+def test_a_log_that_nobody_reads_does_not_block_the_process(tmp_path):
+    # standard error is a pipe of one page that nobody reads; each refusal is a line
     front = FrontEnd(tmp_path, ("-m",))
     reader, writer = os.pipe()
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,4 +1,4 @@
-"""Releases before whole front ends, each from its own configuration, while discovery moves."""
+"""Releases with complete front ends, each with its own configuration, while discovery moves."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 from standins.scene import play
 from standins.world import Act, HttpEngine
 
-FRONTS, WORDS = 14, ("in_service", "terminating", "terminated")
+FRONTS = 14  # front ends
+STATES = ("in_service", "terminating", "terminated")  # by state number
 INFO = {
     "classes": [
         {"name": "lookup", "effect": "repeatable", "on_time_ns": 10**9, "give_up_ns": 5 * 10**9},
@@ -47,8 +48,8 @@
 }
 
 
-class Vanishing(HttpEngine):
-    """Can fall silent as a machine does that is lost: what is open stays open, and nothing is said."""
+class VanishingEngine(HttpEngine):
+    """Can go silent like a lost machine: connections stay open and nothing is sent."""
 
     silent = False
 
@@ -60,24 +61,24 @@
 
 
 class Release:
-    """Front ends that share nothing, engines, two bulletins of the same events, and clients."""
+    """Independent front ends, engines, two bulletins with the same events, and clients."""
 
     def __init__(self, tmp_path, engines: int) -> None:
         self.lines: list[str] = []
         self.hub, self.path = Hub(self.lines.append), tmp_path
         self.events: list[tuple[int, int, bytes]] = []
         self.feeds = [Feed(self.hub, self.events), Feed(self.hub, self.events)]
-        self.feed, self.engines, self.told, self.drains = self.feeds[0], {}, [], {}
-        self.asked = self.busy = 0
-        self.ends, self.odd = Counter(), []
+        self.feed, self.engines, self.published, self.drains = self.feeds[0], {}, [], {}
+        self.sent = self.busy = 0
+        self.ends, self.unexpected = Counter(), []
         names = [self.start() for _ in range(engines)]
-        self.tell([(name, 0) for name in names], True)
+        self.publish([(name, 0) for name in names], True)
         self.nodes = [self.front(me) for me in range(FRONTS)]
 
     def start(self, address: tuple[str, int] = ("127.0.0.1", 0)) -> str:
-        """A new engine, under a name that none had before."""
+        """Starts an engine under a new name."""
         name = f"s-{len(self.engines) + 1:08x}"
-        engine = Vanishing(self.hub, name)
+        engine = VanishingEngine(self.hub, name)
         if address[1]:
             engine.listener.close()
             engine.listener = Listener(self.hub, address, engine.serve, 500, name)
@@ -85,26 +86,28 @@
         self.engines[name] = engine
         return name
 
-    def tell(self, told: list[tuple[str, int]], whole: bool = False, born_at: dict | None = None) -> None:
-        """One event, to whoever listens to a bulletin that tells."""
+    def publish(
+        self, changes: list[tuple[str, int]], whole: bool = False, born_at: dict | None = None
+    ) -> None:
+        """Publishes one event on the bulletins."""
         records, now = b"", int(time.time() * 1000)
-        for name, state in told:
+        for name, state in changes:
             port = self.engines[name].listener.address[1]
             born = (born_at or {}).get(name, 0 if whole else now)
             records += wire.RECORD.pack(int(name[2:], 16), b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, born)
-            self.told.append((name, port, state, born))
+            self.published.append((name, port, state, born))
             if state == 1:
                 self.drains.setdefault(name, time.monotonic())
         self.events.append((len(self.events) + 1, wire.WHOLE if whole else wire.CHANGES, records))
 
-    def again(self) -> None:
-        """The whole list once more, as it is now."""
-        latest = {name: (name, state) for name, _, state, _ in self.told}
-        born = {name: at for name, _, _, at in self.told}
-        self.tell([told for told in latest.values() if told[1] < 2], True, born)
+    def publish_all(self) -> None:
+        """Publishes the complete current list again."""
+        latest = {name: (name, state) for name, _, state, _ in self.published}
+        born = {name: at for name, _, _, at in self.published}
+        self.publish([entry for entry in latest.values() if entry[1] < 2], True, born)
 
     def write(self, me: int) -> str:
-        """The configuration of one front end as it is now; the path of its file."""
+        """Writes the current configuration of one front end; returns the path."""
         latest = {
             name: {
                 "host": name,
@@ -112,11 +115,11 @@
                 "site": "z",
                 "class": "k",
                 "block": 0,
-                "health": WORDS[state],
+                "health": STATES[state],
                 "share": 4,
                 "born_ms": born,
             }
-            for name, port, state, born in self.told
+            for name, port, state, born in self.published
         }
         known = {
             "no": len(self.events),
@@ -126,7 +129,7 @@
                     "roster": {
                         "seq": 1,
                         "whole": True,
-                        "hosts": [h for h in latest.values() if h["health"] != WORDS[2]],
+                        "hosts": [h for h in latest.values() if h["health"] != STATES[2]],
                     },
                 }
             ],
@@ -152,12 +155,12 @@
         return platform(self.hub, {"NODE_CONFIG": self.write(me)}, none, none)
 
     def restart(self, me: int) -> None:
-        """As at SIGTERM: the old one answers what it has taken, the new one knows its configuration only."""
+        """Replaces a front end: the old one drains, the new one starts from its configuration only."""
         old, self.nodes[me] = self.nodes[me], self.front(me)
         self.hub.spawn(old.leave)
 
     def move(self) -> None:
-        """Discovery goes to the other bulletin; the old one stays up and tells nothing more."""
+        """Moves discovery to the other bulletin; the old one stays up and publishes nothing more."""
         self.feed.tells, self.feed = False, self.feeds[1]
         for me in range(FRONTS):
             self.write(me)
@@ -165,8 +168,8 @@
             node.reload()  # as at SIGHUP
 
     def replace(self, old: str, drain: float, silent: bool = False) -> None:
-        """An engine drains, is gone without a word or with one, and another has its address."""
-        self.tell([(old, 1)])
+        """Drains an engine, ends it silently or orderly, and starts another one at its address."""
+        self.publish([(old, 1)])
         self.hub.sleep(drain)
         engine = self.engines[old]
         address, engine.silent = engine.listener.address, silent
@@ -174,11 +177,11 @@
             engine.listener.close()
         else:
             engine.down()
-        self.tell([(old, 2), (self.start(address), 0)])
+        self.publish([(old, 2), (self.start(address), 0)])
 
-    def ask(self, number: int, act) -> None:
-        """One client, one connection, one request; how it ends is counted."""
-        self.asked, self.busy = self.asked + 1, self.busy + 1
+    def run_client(self, number: int, act) -> None:
+        """Runs one client with one request and counts the result."""
+        self.sent, self.busy = self.sent + 1, self.busy + 1
         node = self.nodes[number * 5 % FRONTS]
         try:
             client = ThriftClient(
@@ -189,24 +192,24 @@
             reply = act(client, number)
             self.ends[reply] += 1
             if reply not in ("served", "refused", "gone"):
-                self.odd.append((number, reply))
+                self.unexpected.append((number, reply))
             client.close()
         except (Closed, TimedOut) as why:
             self.ends["lost"] += 1
-            self.odd.append((number, repr(why)))
+            self.unexpected.append((number, repr(why)))
         finally:
             self.busy -= 1
 
     def play(self, seconds: float, steps: list, act) -> None:
-        """Thirty requests a second, and each step at its time."""
-        stop, self.hub.stop = self.hub.stop, lambda: None  # a front end that leaves is not the program here
+        """Sends thirty requests a second and runs each step at its time."""
+        stop, self.hub.stop = self.hub.stop, lambda: None  # a front end that exits must not stop this loop
 
         def scene() -> None:
             began, number = time.monotonic(), 0
             for at, what, *args in steps:
                 self.hub.spawn(lambda at=at, what=what, args=args: (self.hub.sleep(at), what(*args)))
             while time.monotonic() < began + seconds:
-                self.hub.spawn(self.ask, number, act)
+                self.hub.spawn(self.run_client, number, act)
                 number += 1
                 self.hub.sleep(0.033)
             while self.busy and time.monotonic() < began + seconds + 10:
@@ -218,13 +221,13 @@
         assert not errors and not self.busy, (errors, self.busy)
 
 
-def usual(client: ThriftClient, number: int) -> str:
+def send_request(client: ThriftClient, number: int) -> str:
     return client.ask(f"select {number}", 8.0, req=f"{number:016x}", opkey=f"{number:032x}").kind
 
 
-def test_half_of_the_engines_replaced_while_front_ends_restart_and_discovery_moves(tmp_path):
-    # what drains after the move is told by the new bulletin only: a front end that kept to the old one, or
-    # did not read its configuration again, would go on sending there
+def test_replacing_half_of_the_engines_while_front_ends_restart_and_discovery_moves(tmp_path):
+    # drains after the move are published on the new bulletin only: a front end that stayed with the old one,
+    # or did not reload its configuration, would keep sending to drained engines
     made = Release(tmp_path, 6)
     first = list(made.engines)
     steps = [
@@ -234,10 +237,10 @@
         (2.2, made.replace, first[2], 1.2),
     ]
     steps += [(0.6 + 0.25 * tenth, made.restart, tenth) for tenth in range(10)]
-    made.play(4.5, steps, usual)
-    assert set(made.ends) <= {"served", "refused"} and made.ends["served"] > 0.9 * made.asked, (
+    made.play(4.5, steps, send_request)
+    assert set(made.ends) <= {"served", "refused"} and made.ends["served"] > 0.9 * made.sent, (
         made.ends,
-        made.odd,
+        made.unexpected,
     )
     late = [
         (name, at - drained)
@@ -250,42 +253,42 @@
     assert all(begun[name] > 3 for name in made.engines if name not in first), begun
 
 
-def test_six_in_ten_engines_replaced_at_their_addresses_while_the_list_is_late_and_broken(tmp_path):
-    # connections belong to the engine's id: what is left of one lost silently must not be taken for the new
-    # one's; and no list told whole again brings back what has drained
+def test_replacing_six_of_ten_engines_at_their_addresses_with_a_late_and_broken_list(tmp_path):
+    # connections belong to the engine's id: those to a silently lost engine must not be used for its
+    # successor, and a repeated complete list must not restore a drained engine
     made = Release(tmp_path, 10)
     first = list(made.engines)
     steps = [(0.5 + 0.3 * i, made.replace, name, 0.4, i % 2 == 1) for i, name in enumerate(first[:6])]
 
     def act(client: ThriftClient, number: int) -> str:
-        if number % 9 == 4:  # gives up early and comes again under another id
+        if number % 9 == 4:  # closes early
             client.send(f"select {number}", req=f"{number:016x}", opkey=f"{number:032x}")
             client.conn.close()
             return "gone"
-        if number % 9 == 7:  # cannot be read: costs its connection, nothing else
+        if number % 9 == 7:  # malformed: affects its own connection only
             client.conn.write(b"\0\0\0\x08\x80\x01\xff\xff\0\0\0\0" * 3, time.monotonic() + 5)
             with pytest.raises((Closed, TimedOut)):
                 client.read(5.0)
             return "gone"
-        return usual(client, number)
+        return send_request(client, number)
 
-    # the feed tells everything again and again, breaks off inside a list, and is late
+    # the feed repeats complete lists, breaks off inside a list, and is late
     steps += [
-        (0.7, made.again),
+        (0.7, made.publish_all),
         (1.0, setattr, made.feed, "cut", 40),
-        (1.3, made.again),
+        (1.3, made.publish_all),
         (1.5, setattr, made.feed, "cut", None),
         (1.6, setattr, made.feed, "late", 0.3),
-        (1.9, made.again),
+        (1.9, made.publish_all),
     ]
     for engine in made.engines.values():
         engine.act = lambda statement: Act(after=0.04, spoilt=statement.endswith("3"))
     made.play(4.0, steps, act)
-    assert set(made.ends) <= {"served", "refused", "gone"}, (made.ends, made.odd)
-    assert made.ends["served"] > 0.8 * (made.asked - made.ends["gone"]), made.ends
+    assert set(made.ends) <= {"served", "refused", "gone"}, (made.ends, made.unexpected)
+    assert made.ends["served"] > 0.8 * (made.sent - made.ends["gone"]), made.ends
     began = Counter(statement for engine in made.engines.values() for _, statement in engine.began)
     assert max(began.values()) <= 4, began.most_common(3)
-    assert sum("bulletin" in line for line in made.lines) >= FRONTS  # each was broken off, and asked again
+    assert sum("bulletin" in line for line in made.lines) >= FRONTS  # each connection broke and was reopened
     late = [
         (name, at - drained)
         for name, drained in made.drains.items()
