--- a/aspenrill/engines/base.py
+++ b/aspenrill/engines/base.py
@@ -123,8 +123,8 @@
                 broken += why.broken
                 if why.broken and broken < MAX_BROKEN_CONNECTIONS:
                     continue
-                late = time.monotonic() >= attempt.begin_by and str(why) != "ECONNREFUSED"
-                not_at_fault = why.exhausted or late or not attempt.peer.takes_work
+                too_late = time.monotonic() >= attempt.begin_by and str(why) != "ECONNREFUSED"
+                not_at_fault = why.exhausted or too_late or not attempt.peer.takes_work
                 raise AttemptEnded(Outcome.MOOT if not_at_fault else Outcome.CONNECT_FAILED) from None
             if not attempt.wanted:  # the last check before the first byte
                 self.pools.release(attempt.peer, conn)
--- a/aspenrill/fronts/tds.py
+++ b/aspenrill/fronts/tds.py
@@ -16,8 +16,8 @@
 
 from ..core.books import Asked, Call, Failed, Final, Left, Refused, Result, Served
 from ..net.conn import Connection
-from ..net.heldbytes import PartialMessageBytes
 from ..net.hub import READ, Closed, Hub, Signal
+from ..net.partialbytes import PartialMessageBytes
 from ..wire import Malformed, tds
 from ..wire.sql import table_group
 
--- a/aspenrill/fronts/thrift.py
+++ b/aspenrill/fronts/thrift.py
@@ -14,8 +14,8 @@
 
 from ..core.books import Asked, Call, Failed, Final, Left, Refused, Served
 from ..net.conn import Connection
-from ..net.heldbytes import PartialMessageBytes
 from ..net.hub import Closed, Hub
+from ..net.partialbytes import PartialMessageBytes
 from ..wire import Malformed, thrift
 from .thrift_answers import AnswerWriter, UnreadBytes
 from .thrift_requests import RequestReader
@@ -101,13 +101,13 @@
     # ---- reading --------------------------------------------------------------------------------------
 
     def _read_messages(self) -> None:
-        conn, hub, taken = self.conn, self.service.hub, 0
+        conn, hub, handled = self.conn, self.service.hub, 0
         while True:
             if self.writer.queued > MAX_QUEUED:
                 self._wait_for_client()
-            taken = taken + 1 if len(conn.incoming) else 0
-            if taken >= MESSAGES_PER_TURN:
-                taken, self.unscanned = 0, True
+            handled = handled + 1 if len(conn.incoming) else 0
+            if handled >= MESSAGES_PER_TURN:
+                handled, self.unscanned = 0, True
                 hub.give_way()  # constant input from one client must not starve the others
             if self.unscanned and len(conn.incoming):
                 self._scan_buffered()
--- a/aspenrill/net/conn.py
+++ b/aspenrill/net/conn.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from .heldbytes import PartialMessageBytes
 from .hub import READ, WRITE, Closed, Hub, TimedOut
 from .inbox import Inbox
+from .partialbytes import PartialMessageBytes
 from .ring import Ring
 
 DEFAULT_BUFFER_SIZE = 16384  # bytes of the buffer for each direction
@@ -174,14 +174,14 @@
                 continue
             try:
                 if not len(inbox):
-                    asked = self.read_size
-                    data = self.sock.recv(asked)
+                    requested = self.read_size
+                    data = self.sock.recv(requested)
                     count = len(data)
                     inbox.store(data)
                 else:
                     space = inbox.space()
-                    asked = len(space)
-                    count = self.sock.recv_into(space) if asked else -2
+                    requested = len(space)
+                    count = self.sock.recv_into(space) if requested else -2
                     inbox.commit(max(0, count))
             except AGAIN:
                 count = -1  # wait outside the handler, which would keep the exception and its frames alive
@@ -191,8 +191,8 @@
                     raise Closed(str(why)) from None
                 count = -3
             if count > 0:
-                self.wait_before_read = count < asked
-                if count == asked:
+                self.wait_before_read = count < requested
+                if count == requested:
                     self.read_size = min(4 * self.read_size, inbox.capacity)
                 elif count <= MIN_READ_SIZE and self.read_size > MIN_READ_SIZE:
                     self.read_size = MIN_READ_SIZE
@@ -226,7 +226,7 @@
                 parts.append(self.incoming.pull(missing))
                 missing -= len(parts[-1])
                 if self.partial_bytes is not None and missing:
-                    self.partial_bytes.set_held(self, count - missing)
+                    self.partial_bytes.set_bytes(self, count - missing)
         finally:
             if self.partial_bytes is not None:
                 self.partial_bytes.release(self)
@@ -237,9 +237,9 @@
         while len(self.incoming) < count:
             self.fill(until)
 
-    def read_until(self, mark: bytes, until: float | None) -> bytes:
+    def read_until(self, delimiter: bytes, until: float | None) -> bytes:
         """Reads up to and including the delimiter. Raises Closed if the buffer fills up without it."""
-        return self.incoming.pull(self._size_through(mark, until))
+        return self.incoming.pull(self._size_through(delimiter, until))
 
     def read_head(self, until: float | None) -> str:
         """Reads an HTTP head including its empty line as Latin-1 text. Raises Closed as `read_until` does."""
@@ -250,33 +250,33 @@
         inbox.drop(size)
         return text
 
-    def _size_through(self, mark: bytes, until: float | None) -> int:
+    def _size_through(self, delimiter: bytes, until: float | None) -> int:
         """Waits for the delimiter; returns the number of bytes up to and including it."""
         seen, inbox = 0, self.incoming
         while True:
-            at = inbox.find(mark, max(0, seen - len(mark) + 1)) if len(inbox) else -1
+            at = inbox.find(delimiter, max(0, seen - len(delimiter) + 1)) if len(inbox) else -1
             if at >= 0:
-                return at + len(mark)
+                return at + len(delimiter)
             if not inbox.free:
                 raise Closed("line or head too long")
             seen = len(inbox)
             self.fill(until)
 
-    def frame(self, most: int, until: float | None) -> tuple[bytes, int, int]:
+    def frame(self, max_size: int, until: float | None) -> tuple[bytes, int, int]:
         """Reads a message with a 4-byte length prefix; returns a buffer and the message's bounds in it.
 
-        Raises Closed if the message is empty or longer than `most`. A message that is buffered completely is
-        not copied.
+        Raises Closed if the message is empty or longer than `max_size`. A completely buffered message is not
+        copied.
         """
         inbox = self.incoming
         data, at = inbox.data, inbox.at
         if len(data) - at > 4:
             size = data[at] << 24 | data[at + 1] << 16 | data[at + 2] << 8 | data[at + 3]
-            if 0 < size <= most and at + 4 + size <= len(data):
+            if 0 < size <= max_size and at + 4 + size <= len(data):
                 inbox.drop(4 + size)
                 return data, at + 4, at + 4 + size
         size = int.from_bytes(self.read(4, until), "big")
-        if not 0 < size <= most:
+        if not 0 < size <= max_size:
             raise Closed(f"frame of {size} bytes")
         return self.read(size, until), 0, size
 
@@ -313,10 +313,10 @@
 
     def hung_up(self) -> bool:
         """Whether the peer has closed or reset the connection, even if unread data precedes the FIN."""
-        look = select.poll()
-        look.register(self.fd, HANGUP_EVENTS)
+        poller = select.poll()
+        poller.register(self.fd, HANGUP_EVENTS)
         try:
-            return bool(look.poll(0))
+            return bool(poller.poll(0))
         except OSError:
             return False  # no memory for the poll: a later read will find the end
 
--- a/aspenrill/net/hub.py
+++ b/aspenrill/net/hub.py
@@ -189,7 +189,7 @@
         waits = self._waits[mask]
         if fd in waits:
             raise RuntimeError(f"two tasks wait for descriptor {fd}")
-        mine = waits[fd] = (getcurrent(), self.begin_wait())
+        entry = waits[fd] = (getcurrent(), self.begin_wait())
         have = self._masks.get(fd, 0)
         if not have & mask:
             self._masks[fd] = have | mask
@@ -197,7 +197,7 @@
         try:
             self.park(timeout)
         finally:
-            if waits.get(fd) is mine:  # not the entry of a later user of the same descriptor number
+            if waits.get(fd) is entry:  # not the entry of a later user of the same descriptor number
                 del waits[fd]
 
     def watch_idle(self, fd: int, call: Callable[..., None], *args: Any) -> None:
@@ -259,9 +259,9 @@
 
     def round(self) -> None:
         """Runs ready tasks, then polls descriptors and timers."""
-        ready, loop, turns = self._ready, self.loop, MAX_SWITCHES_PER_ROUND
-        while ready and turns:
-            turns -= 1
+        ready, loop, switches_left = self._ready, self.loop, MAX_SWITCHES_PER_ROUND
+        while ready and switches_left:
+            switches_left -= 1
             worker, value = ready.popleft()
             worker.parent = loop
             worker.switch(value)
@@ -373,13 +373,13 @@
 
     def wait(self, timeout: float | None) -> None:
         """Blocks until the next `set`. Raises TimedOut."""
-        mine = getcurrent(), self.hub.begin_wait()
-        self._waiters.append(mine)
+        entry = getcurrent(), self.hub.begin_wait()
+        self._waiters.append(entry)
         try:
             self.hub.park(timeout)
         finally:
-            if mine in self._waiters:  # not woken by `set`
-                self._waiters.remove(mine)
+            if entry in self._waiters:  # not woken by `set`
+                self._waiters.remove(entry)
 
     def set(self) -> None:
         """Wakes all waiting tasks."""
--- a/aspenrill/net/inbox.py
+++ b/aspenrill/net/inbox.py
@@ -52,12 +52,12 @@
         self.data, self.at = b"", 0
         self.ring.clear()
 
-    def find(self, mark: bytes, start: int = 0) -> int:
+    def find(self, delimiter: bytes, start: int = 0) -> int:
         """Returns the position of the delimiter at or after `start`, -1 if it is absent."""
         if self.data:
-            found = self.data.find(mark, self.at + start)
+            found = self.data.find(delimiter, self.at + start)
             return found - self.at if found >= 0 else -1
-        return self.ring.peek(len(self.ring)).find(mark, start) if len(self.ring) else -1
+        return self.ring.peek(len(self.ring)).find(delimiter, start) if len(self.ring) else -1
 
     def peek(self, count: int) -> bytes:
         """Returns up to `count` of the oldest bytes without consuming them."""
--- a/aspenrill/net/listener.py
+++ b/aspenrill/net/listener.py
@@ -183,10 +183,10 @@
         if found is not None:
             found.evicted = True
             found.begin_close("room for another")
-        elif full and not ending and (stuck := longest_blocked(self.connections, now)) is not None:
-            stuck.end_reason = "its client takes no answer, room for another"
-            stuck.closed_locally = True
-            stuck.close()  # its own task logs what that lost
+        elif full and not ending and (blocked := longest_blocked(self.connections, now)) is not None:
+            blocked.end_reason = "its client takes no answer, room for another"
+            blocked.closed_locally = True
+            blocked.close()  # its own task logs what that lost
 
     def _remove(self, conn: Connection) -> None:
         if conn in self.connections:
--- a/aspenrill/net/heldbytes.py
+++ b/aspenrill/net/partialbytes.py
@@ -23,21 +23,23 @@
 
     def __init__(self, max_total: int) -> None:
         self.max_total, self.total = max_total, 0
-        self._held: dict[PartialReader, int] = {}
+        self._bytes_by_reader: dict[PartialReader, int] = {}
 
-    def set_held(self, holder: PartialReader, count: int) -> None:
+    def set_bytes(self, reader: PartialReader, count: int) -> None:
         """Sets the bytes buffered for a connection; stops reading others if the total exceeds the limit."""
-        self.total += count - self._held.pop(holder, 0)
-        self._held[holder] = count
+        self.total += count - self._bytes_by_reader.pop(reader, 0)
+        self._bytes_by_reader[reader] = count
         while self.total > self.max_total:
             longest = self._longest_silent()
             self.release(longest)
             longest.stop_reading("too many bytes of unfinished messages")
 
-    def release(self, holder: PartialReader) -> None:
+    def release(self, reader: PartialReader) -> None:
         """Removes a connection whose message is complete or which has ended."""
-        self.total -= self._held.pop(holder, 0)
+        self.total -= self._bytes_by_reader.pop(reader, 0)
 
     def _longest_silent(self) -> PartialReader:
         """Prefers connections without open requests: the others are needed for their answers."""
-        return next((holder for holder in self._held if not holder.busy), next(iter(self._held)))
+        return next(
+            (reader for reader in self._bytes_by_reader if not reader.busy), next(iter(self._bytes_by_reader))
+        )
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -40,8 +40,8 @@
 def test_a_cancelled_request_ends_at_its_deadline_though_the_engine_does_not_respond():
     # it waited for the DELETE and failed as unanswered, with an error in the log
     script = ScriptedEngine([lambda conn: None] * 9)
-    heard = Signal(script.hub)
-    script.delete = lambda conn: heard.wait(LONG)
+    answer_delete = Signal(script.hub)
+    script.delete = lambda conn: answer_delete.wait(LONG)
 
     def scene() -> None:
         attempt = script.start(time_budget=0.6)
@@ -50,7 +50,7 @@
         script.until(lambda: script.posted)
         assert script.posted[0].outcome is api.Outcome.TIMEOUT and not attempt.task.dead
         assert 0 <= time.monotonic() - attempt.call.deadline
-        heard.set()
+        answer_delete.set()
         script.end(attempt)
 
     script.play(scene)
@@ -58,11 +58,11 @@
 
 def test_no_end_is_posted_before_the_engine_has_stopped():
     script = ScriptedEngine([lambda conn: None] * 9)
-    heard, asked = Signal(script.hub), []
+    answer_delete, deletes = Signal(script.hub), []
 
     def delete(conn) -> None:
-        asked.append(conn)
-        heard.wait(LONG)
+        deletes.append(conn)
+        answer_delete.wait(LONG)
         conn.write(GONE, time.monotonic() + LONG)
 
     script.delete = delete
@@ -71,9 +71,9 @@
         attempt = script.start()
         script.until(lambda: script.calls)
         script.engines.cancel(attempt)
-        script.until(lambda: asked)
+        script.until(lambda: deletes)
         assert not script.posted
-        heard.set()
+        answer_delete.set()
         assert script.end(attempt).outcome is api.Outcome.CANCELLED
 
     script.play(scene)
--- a/tests/test_attempts_ended.py
+++ b/tests/test_attempts_ended.py
@@ -93,11 +93,11 @@
 @pytest.mark.parametrize("when, sent", [("before", False), ("while", True), ("after", False)])
 def test_a_priority_is_sent_only_for_an_attempt_in_flight(when, sent):
     script = ScriptedEngine([lambda conn: None, GONE])
-    asked = []
+    deletes = []
 
     def delete(conn) -> None:
-        asked.append(conn)
-        script.until(lambda: len(asked) > 1)
+        deletes.append(conn)
+        script.until(lambda: len(deletes) > 1)
         conn.write(GONE, time.monotonic() + LONG)
 
     script.delete = delete
@@ -108,12 +108,12 @@
             script.until(lambda: script.calls)
         if when == "after":
             script.engines.cancel(attempt)
-            script.until(lambda: asked)
+            script.until(lambda: deletes)
         script.engines.rank(attempt, 3)
         script.until(lambda: len(script.calls) > sent)
         for _ in range(20):
             script.hub.give_way()
-        asked.append(None)
+        deletes.append(None)
         script.engines.cancel(attempt)
         script.end(attempt)
         assert any(call.startswith("put") for call in script.calls) == sent
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -123,34 +123,36 @@
     )
 )
 def test_an_inbox_returns_data_in_order(steps):
-    box, held, number = Inbox(64), b"", 0
+    inbox, expected, number = Inbox(64), b"", 0
     for what, count in steps:
         if what == "fill":
-            data = bytes((number + i) % 7 for i in range(min(count, box.free)))
+            data = bytes((number + i) % 7 for i in range(min(count, inbox.free)))
             number += len(data)
-            if not len(box):
-                box.store(data)
+            if not len(inbox):
+                inbox.store(data)
             else:
                 left = data
                 while left:
-                    space = box.space()
+                    space = inbox.space()
                     some = left[: len(space)]
                     space[: len(some)] = some
-                    box.commit(len(some))
+                    inbox.commit(len(some))
                     left = left[len(some) :]
-            held += data
+            expected += data
         elif what == "pull":
-            assert box.pull(count) == held[:count]
-            held = held[count:]
+            assert inbox.pull(count) == expected[:count]
+            expected = expected[count:]
         elif what == "peek":
-            assert box.peek(count) == held[:count]
+            assert inbox.peek(count) == expected[:count]
         elif what == "drop":
-            count = min(count, len(held))
-            box.drop(count)
-            held = held[count:]
+            count = min(count, len(expected))
+            inbox.drop(count)
+            expected = expected[count:]
         else:
-            assert box.find(b"\3\4", min(count, len(held))) == held.find(b"\3\4", min(count, len(held)))
-        assert len(box) == len(held) and box.free == 64 - len(held)
+            assert inbox.find(b"\3\4", min(count, len(expected))) == expected.find(
+                b"\3\4", min(count, len(expected))
+            )
+        assert len(inbox) == len(expected) and inbox.free == 64 - len(expected)
 
 
 # ---- short and failing reads and writes ------------------------------------------------------------------
