--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The ordinary path's short ways: each as the long way has it, and under the failures that could break it."""
+"""The fast paths: each gives the result of the general code, also when system calls fail."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from dataclasses import replace
 
 import pytest
+from failing_socket import failing_pair
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from stubborn import pair
 
 from aspenrill.net.connecting import Refused, connect
 from aspenrill.net.hub import Closed, Hub
@@ -21,11 +21,11 @@
 from standins.scene import play
 from standins.world import SETTINGS, World
 
-ROOMY = replace(SETTINGS, cores_by_kind=(64,))  # nothing is held for want of room
+ROOMY = replace(SETTINGS, cores_by_kind=(64,))  # enough capacity that no request is queued
 EXAMPLES = dict(derandomize=True, deadline=None, max_examples=300, database=None)
 
 
-# ---- short ways are the long ways ---------------------------------------------------------------------
+# ---- fast paths against the general code -----------------------------------------------------------------
 
 TEXT = st.binary(max_size=20)
 
@@ -45,7 +45,7 @@
     st.binary(max_size=9),
     st.binary(max_size=9),
 )
-def test_a_usual_call_reads_as_the_general_reader_reads_it(seqid, fields, body, before, after):
+def test_the_fast_reader_agrees_with_the_general_reader(seqid, fields, body, before, after):
     data = frame_of(seqid, fields, body)
     found = thrift.read_serve(before + data + after, len(before), len(before) + len(data))
     assert found == (seqid, fields, body)
@@ -60,7 +60,7 @@
     st.lists(st.tuples(st.integers(0, 200), st.integers(0, 255)), max_size=4),
     st.integers(-9, 9),
 )
-def test_a_spoilt_call_is_left_to_the_general_reader_or_read_alike(fields, body, changes, cut):
+def test_a_corrupted_call_is_left_to_the_general_reader_or_read_equally(fields, body, changes, cut):
     data = bytearray(frame_of(1, fields, body))
     for at, value in changes:
         data[at % len(data)] = value
@@ -112,7 +112,7 @@
 @example("select a from sales_17.orders where id = 5")
 @example("select 1.5 from b_22")
 @example("9a_3.x")
-def test_the_group_of_a_plain_statement_is_found_as_of_any_other(statement):
+def test_the_fast_table_group_agrees_with_the_general_one(statement):
     assert sql.table_group(statement) == sql._table_group(statement)
 
 
@@ -122,55 +122,57 @@
         st.tuples(st.sampled_from(["fill", "pull", "peek", "drop", "find"]), st.integers(0, 40)), max_size=40
     )
 )
-def test_an_inbox_gives_what_came_in_its_order(steps):
-    box, held, number = Inbox(64), b"", 0
+def test_an_inbox_returns_data_in_order(steps):
+    inbox, expected, number = Inbox(64), b"", 0
     for what, count in steps:
         if what == "fill":
-            data = bytes((number + i) % 7 for i in range(min(count, box.free)))
+            data = bytes((number + i) % 7 for i in range(min(count, inbox.free)))
             number += len(data)
-            if not len(box):
-                box.took(data)
+            if not len(inbox):
+                inbox.store(data)
             else:
                 left = data
                 while left:
-                    space = box.space()
+                    space = inbox.space()
                     some = left[: len(space)]
                     space[: len(some)] = some
-                    box.added(len(some))
+                    inbox.commit(len(some))
                     left = left[len(some) :]
-            held += data
+            expected += data
         elif what == "pull":
-            assert box.pull(count) == held[:count]
-            held = held[count:]
+            assert inbox.pull(count) == expected[:count]
+            expected = expected[count:]
         elif what == "peek":
-            assert box.peek(count) == held[:count]
+            assert inbox.peek(count) == expected[:count]
         elif what == "drop":
-            count = min(count, len(held))
-            box.drop(count)
-            held = held[count:]
+            count = min(count, len(expected))
+            inbox.drop(count)
+            expected = expected[count:]
         else:
-            assert box.find(b"\3\4", min(count, len(held))) == held.find(b"\3\4", min(count, len(held)))
-        assert len(box) == len(held) and box.free == 64 - len(held)
+            assert inbox.find(b"\3\4", min(count, len(expected))) == expected.find(
+                b"\3\4", min(count, len(expected))
+            )
+        assert len(inbox) == len(expected) and inbox.free == 64 - len(expected)
 
 
-# ---- writes and reads that come short -----------------------------------------------------------------
+# ---- short and failing reads and writes ------------------------------------------------------------------
 
 
-def test_a_vectored_write_may_stop_at_each_byte():
-    # what the system did not take follows, neither lost nor twice
+def test_a_vectored_write_may_be_short_at_any_byte():
+    # the unsent rest must follow, neither lost nor duplicated
     parts = [b"ab", b"", b"cdefg", b"h", b"ijk"]
     whole = b"".join(parts)
     hub = Hub()
 
     def scene():
         for taken in range(len(whole) + 1):
-            conn, theirs = pair(hub, sendmsg=[taken], send=[1, 2])
+            conn, theirs = failing_pair(hub, sendmsg=[taken], send=[1, 2])
             conn.write_parts(list(parts), time.monotonic() + 5)
             conn.close()
             got = b""
             while data := theirs.recv(100):
                 got += data
-            assert got == whole and conn.written == len(whole)
+            assert got == whole and conn.bytes_sent == len(whole)
             theirs.close()
 
     play(hub, scene)
@@ -179,16 +181,16 @@
 @pytest.mark.parametrize(
     "error", [InterruptedError(errno.EINTR, "x"), BlockingIOError(errno.EAGAIN, "x")], ids=["EINTR", "EAGAIN"]
 )
-def test_calls_that_are_interrupted_or_not_ready_are_made_again(error):
+def test_interrupted_and_blocked_calls_are_repeated(error):
     hub = Hub()
 
     def scene():
-        conn, theirs = pair(hub, recv=[error], recv_into=[error], send=[error], sendmsg=[error])
+        conn, theirs = failing_pair(hub, recv=[error], recv_into=[error], send=[error], sendmsg=[error])
         theirs.sendall(b"12345")
         assert conn.read(3, time.monotonic() + 5) == b"123"
-        conn.incoming.space()  # what is left moves into the ring
+        conn.incoming.space()  # the rest moves into the ring
         theirs.sendall(b"678")
-        conn.need(5, time.monotonic() + 5)
+        conn.wait_for_bytes(5, time.monotonic() + 5)
         assert conn.read(5, time.monotonic() + 5) == b"45678"
         conn.write_parts([b"a", b"b"], time.monotonic() + 5)
         assert theirs.recv(1) + theirs.recv(1) == b"ab"
@@ -200,11 +202,11 @@
 
 
 @pytest.mark.parametrize("call", ["recv", "send", "sendmsg"])
-def test_errors_of_the_system_close_what_they_meet(call):
+def test_fatal_errors_close_the_connection(call):
     hub = Hub()
 
     def scene():
-        conn, theirs = pair(hub, **{call: [OSError(errno.ECONNRESET, "reset")]})
+        conn, theirs = failing_pair(hub, **{call: [OSError(errno.ECONNRESET, "reset")]})
         theirs.sendall(b"x")
         with pytest.raises(Closed):
             conn.fill(time.monotonic() + 5) if call == "recv" else conn.write_parts(
@@ -217,7 +219,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.EINTR, errno.EAGAIN, errno.EMFILE, errno.ECONNABORTED])
-def test_a_listener_outlives_each_error_of_accept(code):
+def test_a_listener_survives_each_error_of_accept(code):
     hub, served = Hub(lambda text: None), []
     listener = Listener(hub, ("127.0.0.1", 0), served.append, 5, "front")
     failing, accept = [OSError(code, "x"), OSError(code, "x")], listener.sock.accept
@@ -246,7 +248,7 @@
 
 
 @pytest.mark.parametrize(
-    "code, comes_up, scarce",
+    "code, comes_up, exhausted",
     [
         (errno.EINTR, True, False),
         (errno.EINPROGRESS, True, False),
@@ -255,29 +257,29 @@
         (errno.ECONNREFUSED, False, False),
     ],
 )
-def test_each_error_of_connect_means_what_it_means(monkeypatch, code, comes_up, scarce):
+def test_errors_of_connect_are_classified(monkeypatch, code, comes_up, exhausted):
     hub, server = Hub(), socket.create_server(("127.0.0.1", 0))
 
-    class Told(socket.socket):
+    class ScriptedSocket(socket.socket):
         def connect_ex(self, address):
             if comes_up:
                 super().connect_ex(address)
             return code
 
     def scene():
-        monkeypatch.setattr("aspenrill.net.conn.socket.socket", Told)
+        monkeypatch.setattr("aspenrill.net.conn.socket.socket", ScriptedSocket)
         if comes_up:
             connect(hub, server.getsockname(), time.monotonic() + 5).close()
         else:
             with pytest.raises(Refused) as why:
                 connect(hub, server.getsockname(), time.monotonic() + 5)
-            assert why.value.scarce is scarce
+            assert why.value.exhausted is exhausted
 
     play(hub, scene)
     server.close()
 
 
-def test_no_descriptor_for_an_engine_is_a_refusal_that_proves_nothing_ran(monkeypatch):
+def test_descriptor_exhaustion_proves_that_nothing_ran(monkeypatch):
     world = World("thrift", 1)
 
     def run():
@@ -286,14 +288,14 @@
         world.node.pools.retire(next(iter(world.node.owner.peers.values())))
         real, failing = socket.socket, [3]
 
-        class Scarce(real):
+        class ExhaustedSocket(real):
             def __init__(self, *args, **more):
                 if failing[0] and not more and args[1:2] == (socket.SOCK_STREAM,):
                     failing[0] -= 1
                     raise OSError(errno.EMFILE, "Too many open files")
                 super().__init__(*args, **more)
 
-        monkeypatch.setattr("aspenrill.net.conn.socket.socket", Scarce)
+        monkeypatch.setattr("aspenrill.net.conn.socket.socket", ExhaustedSocket)
         assert client.ask("insert 2").kind == "served" and not failing[0]
         assert world.engines[0].statements == ["select 1", "insert 2"]
 
