--- a/aspenrill/fleet/config.py
+++ b/aspenrill/fleet/config.py
@@ -75,21 +75,21 @@
 
 def _pace(row: Reader) -> Pace:
     usual = Pace()
-    least = row.number("suspect_least_ms", usual.suspect_least * 1000, 10, 60000) / 1000
-    most = row.number("suspect_most_ms", usual.suspect_most * 1000, 10, 600000) / 1000
+    least = row.number("suspect_least_ms", usual.suspicion_min * 1000, 10, 60000) / 1000
+    most = row.number("suspect_most_ms", usual.suspicion_max * 1000, 10, 600000) / 1000
     if least > most:
         row.fault("suspect_least_ms", "must not be beyond suspect_most_ms")
     pace = Pace(
-        period=row.number("period_ms", usual.period * 1000, 50, 60000) / 1000,
-        ack=row.number("ack_ms", usual.ack * 1000, 5, 60000) / 1000,
-        suspect_least=least,
-        suspect_most=most,
-        gossip=row.number("gossip_ms", usual.gossip * 1000, 10, 60000) / 1000,
+        probe_interval=row.number("period_ms", usual.probe_interval * 1000, 50, 60000) / 1000,
+        ack_timeout=row.number("ack_ms", usual.ack_timeout * 1000, 5, 60000) / 1000,
+        suspicion_min=least,
+        suspicion_max=most,
+        gossip_interval=row.number("gossip_ms", usual.gossip_interval * 1000, 10, 60000) / 1000,
         fanout=int(row.number("fanout", usual.fanout, 1, 20)),
         sync=row.number("exchange_s", usual.sync, 1, 86400),
-        reconnect=row.number("reconnect_ms", usual.reconnect * 1000, 100, 600000) / 1000,
-        forget=row.number("forget_s", usual.forget, 10, 10 * 86400),
-        entries=row.number("entries_s", usual.entries, 5, 86400),
+        reconnect_interval=row.number("reconnect_ms", usual.reconnect_interval * 1000, 100, 600000) / 1000,
+        forget_after=row.number("forget_s", usual.forget_after, 10, 10 * 86400),
+        entries_kept=row.number("entries_s", usual.entries_kept, 5, 86400),
     )
     row.end()
     return pace
--- a/aspenrill/fleet/peers/__init__.py
+++ b/aspenrill/fleet/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet, and what each tells of itself. Decisions are free of I/O; `link` has the sockets."""
+"""Fleet membership, failure detection and gossip. The protocol code does no I/O; `link` owns the sockets."""
--- a/aspenrill/fleet/peers/events.py
+++ b/aspenrill/fleet/peers/events.py
@@ -1,4 +1,4 @@
-"""What a process is told of itself, and the events that it tells."""
+"""The identity of the local process and the events that the peer protocol emits."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Self:
-    """What a process is told of itself at its start."""
+    """The identity and seeds of the local process."""
 
     name: str
     incarnation: int
-    life: bytes
-    address: Address  # at which others reach it
+    boot_id: bytes
+    address: Address  # advertised to other members
     place: Place = Place()
     seeds: tuple[Address, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Posted:
-    """Event: mail for a part."""
+    """Event: a message for a component."""
 
     part: str
     sender: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renamed:
-    """Event: this process's own incarnation has changed, or it has stepped back (`trouble`) or is back."""
+    """Event: the own incarnation changed, the name was lost to another process (`trouble`) or regained."""
 
     incarnation: int
     trouble: NameTrouble | None = None
--- a/aspenrill/fleet/peers/link.py
+++ b/aspenrill/fleet/peers/link.py
@@ -1,4 +1,4 @@
-"""The sockets of a process's peers: datagrams and streams on one port, every wait with its time."""
+"""The sockets of the peer protocol: datagrams and streams on one port. Every wait has a timeout."""
 
 from __future__ import annotations
 
@@ -14,49 +14,50 @@
 from ...net.connecting import Refused, connect
 from ...net.hub import READ, Closed, Hub, TimedOut
 from ...net.listener import Listener
-from .exchange import MOST_FRAME, NONCE, Exchange
+from .exchange import MAX_FRAME, NONCE_BYTES, Exchange
 from .node import Peers
-from .wire import MOST_DATAGRAM
+from .wire import MAX_DATAGRAM
 
 Address = tuple[str, int]
-PORT_TRIES = 32  # where the kernel chooses: until one is free for datagrams and for streams
-AT_ONCE = 64  # datagrams taken before others have their turn
-BUFFER = 1 << 20  # bytes that the kernel keeps for us
-MOST_CALLS, MOST_CALLED = 4, 16  # exchanges at a time, begun here and begun elsewhere
-LONGEST = 8.0  # seconds for one exchange
-BREATH = 0.05  # seconds until a socket that gave an error is read again
+PORT_TRIES = 32  # with port 0: attempts to find one port that is free for both UDP and TCP
+DATAGRAM_BATCH = 64  # datagrams read before yielding to other tasks
+RECEIVE_BUFFER = 1 << 20  # bytes, SO_RCVBUF
+MAX_OUTGOING_EXCHANGES = 4  # concurrent
+MAX_INCOMING_EXCHANGES = 16  # concurrent
+EXCHANGE_TIMEOUT = 8.0  # seconds
+ERROR_BACKOFF = 0.05  # seconds until the socket is read again after an error
 
 
 class Link:
-    """Carries the datagrams and streams of `peers`, which is set before `read` is called."""
+    """Sends and receives the datagrams and streams of `peers`, which must be set before `read` is called."""
 
     def __init__(
-        self, hub: Hub, listen: Address, clock: Callable[[], float], changed: Callable[[], None]
+        self, hub: Hub, listen: Address, clock: Callable[[], float], on_change: Callable[[], None]
     ) -> None:
-        self.hub, self.clock, self.changed = hub, clock, changed
+        self.hub, self.clock, self.on_change = hub, clock, on_change
         self.peers: Peers | None = None
-        self.unsent = self.sent = self.got = self.exchanges = self.failed_exchanges = 0
-        self.calls = 0
+        self.unsent = self.sent = self.received = self.exchanges = self.failed_exchanges = 0
+        self.outgoing = 0
         self.open = True
         self._bind(listen)
 
     def _bind(self, listen: Address) -> None:
-        for left in reversed(range(PORT_TRIES if listen[1] == 0 else 1)):
+        for tries_left in reversed(range(PORT_TRIES if listen[1] == 0 else 1)):
             self.sock = socket.socket(family_of(listen[0]), socket.SOCK_DGRAM)
             try:
                 self.sock.setblocking(False)
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
                 self.sock.bind(listen)
                 self.address: Address = self.sock.getsockname()[:2]
-                self.listener = Listener(self.hub, self.address, self._serve, MOST_CALLED, "fleet")
+                self.listener = Listener(self.hub, self.address, self._serve, MAX_INCOMING_EXCHANGES, "fleet")
                 return
             except OSError as why:
                 self.sock.close()
-                if why.errno != errno.EADDRINUSE or not left:
+                if why.errno != errno.EADDRINUSE or not tries_left:
                     raise
 
     def close(self) -> None:
-        """No more datagrams and streams."""
+        """Close the sockets and the open streams."""
         if self.open:
             self.open = False
             self.listener.close()
@@ -68,32 +69,32 @@
     # ---- datagrams ------------------------------------------------------------------------------------
 
     def read(self, timeout: float) -> None:
-        """Wait so long at most for datagrams, and take some."""
-        taken = 0
-        while taken < AT_ONCE:
+        """Wait up to `timeout` seconds for datagrams, then process a batch."""
+        received = 0
+        while received < DATAGRAM_BATCH:
             try:
-                data, address = self.sock.recvfrom(MOST_DATAGRAM + 1)
+                data, address = self.sock.recvfrom(MAX_DATAGRAM + 1)
             except AGAIN:
-                if taken:
+                if received:
                     break
                 try:
                     self.hub.wait_fd(self.sock.fileno(), READ, timeout)
                 except TimedOut:
                     return
-                taken += 1
+                received += 1
                 continue
             except OSError:
-                self.hub.sleep(BREATH)
+                self.hub.sleep(ERROR_BACKOFF)
                 return
-            taken += 1
-            self.got += 1
+            received += 1
+            self.received += 1
             self.peers.on_datagram(self.clock(), address[:2], data)
         else:
-            self.hub.give_way()  # there may be more: in a flood, too, others have their turn
+            self.hub.give_way()  # more may be waiting: yield, so that a flood does not starve other tasks
 
     def flush(self) -> None:
-        """Send what has piled up, and begin the exchanges that are wanted. What the system does not take now
-        is lost, as it may be on the way."""
+        """Send the pending datagrams and start the pending exchanges. A datagram that the kernel does not
+        accept is dropped, as it may be by the network."""
         peers = self.peers
         for address, data in peers.take_out():
             try:
@@ -101,30 +102,30 @@
                 self.sent += 1
             except OSError:
                 self.unsent += 1
-        for name, address, life in peers.take_syncs():
-            if self.calls < MOST_CALLS:
-                self.calls += 1
-                self.hub.spawn(self._call, name, address, life, name="fleet exchange")
+        for name, address, boot_id in peers.take_syncs():
+            if self.outgoing < MAX_OUTGOING_EXCHANGES:
+                self.outgoing += 1
+                self.hub.spawn(self._initiate, name, address, boot_id, name="fleet exchange")
 
     # ---- streams --------------------------------------------------------------------------------------
 
-    def _call(self, name: str, address: Address, life: bytes) -> None:
-        until = self.hub.timers.clock() + LONGEST
+    def _initiate(self, name: str, address: Address, boot_id: bytes) -> None:
+        until = self.hub.timers.clock() + EXCHANGE_TIMEOUT
         conn: Connection | None = None
         exchange: Exchange | None = None
         try:
             conn = connect(self.hub, address, until, source=self.address[0])
-            exchange = self.peers.calling(life, os.urandom(NONCE))
+            exchange = self.peers.calling(boot_id, os.urandom(NONCE_BYTES))
             self._write(conn, exchange.greet(), until)
             self._run(conn, exchange, until)
-            conn.read(1, until)  # the other side closes once it has all
+            conn.read(1, until)  # wait for the other side to close
         except Closed:
             pass
         except (Refused, TimedOut, WireTrouble) as why:
             if isinstance(why, WireTrouble):
                 self.peers.refuse(why, address)
         finally:
-            self.calls -= 1
+            self.outgoing -= 1
             if conn is not None:
                 conn.close()
             done = exchange is not None and exchange.over
@@ -134,9 +135,9 @@
                 self.peers.sync_failed(self.clock())
 
     def _serve(self, conn: Connection) -> None:
-        until = self.hub.timers.clock() + LONGEST
+        until = self.hub.timers.clock() + EXCHANGE_TIMEOUT
         try:
-            self._run(conn, self.peers.called(os.urandom(NONCE)), until)
+            self._run(conn, self.peers.called(os.urandom(NONCE_BYTES)), until)
         except WireTrouble as why:
             try:
                 address = conn.sock.getpeername()[:2]
@@ -147,7 +148,7 @@
     def _run(self, conn: Connection, exchange: Exchange, until: float) -> None:
         conn.busy = 1
         while not exchange.over:
-            data, start, end = conn.frame(MOST_FRAME, until)
+            data, start, end = conn.frame(MAX_FRAME, until)
             conn.spoke = True
             try:
                 for frame in exchange.take(self.clock(), bytes(data[start:end])):
@@ -157,7 +158,7 @@
             except Exception:
                 self.hub.report("fleet exchange", traceback.format_exc())
                 raise Closed("not understood") from None
-            self.changed()
+            self.on_change()
             self.hub.give_way()
 
     def _write(self, conn: Connection, frame: bytes, until: float) -> None:
--- a/aspenrill/fleet/peers/table.py
+++ b/aspenrill/fleet/peers/table.py
@@ -1,10 +1,10 @@
-"""The table of members: one record a name, the later news wins, and what is to be told of it.
+"""The member table: one record for each name, of which the latest update wins, and its gossip queue.
 
-SWIM's rules of precedence (Das, Gupta, Motivala 2002, 4.2), with two changes. The incarnation is that of a
-whole life of a process and does not change while it lives; what SWIM calls by that name, raised by each
-refutation, is `claim` here. And a death that is only reported counts as a suspicion where the dead one has
-just been heard, or where the report comes with a whole exchange: two halves of a fleet that meet again do not
-end each other.
+SWIM's precedence rules (Das, Gupta, Motivala 2002, 4.2), with two changes. The incarnation identifies one
+run of a process and does not change while it runs; SWIM's incarnation number, raised by each refutation, is
+`refutations` here. And a reported death counts only as a suspicion if a datagram of the member just arrived,
+or if the report comes with a full exchange: two halves of a healed partition must not declare each other
+dead.
 """
 
 from __future__ import annotations
@@ -17,88 +17,88 @@
 from msgspec import Raw, structs
 
 from ..interface import MOST_PEERS, Member, State
-from .rumours import Rumours
-from .wire import News, encode
+from .gossip_queue import GossipQueue
+from .wire import MemberUpdate, encode
 
-FRESH = 1.0  # seconds for which having heard a member itself outweighs a report of its death
-LASTS = 20.0  # seconds for which news of a member is passed on, at most
-MOST_ACCUSERS = 4  # that are kept of a suspicion, and whose word is passed on
+FRESH_FOR = 1.0  # seconds for which a datagram of a member outweighs a report of its death
+MAX_GOSSIP_AGE = 20.0  # seconds for which an update is gossiped
+MAX_REPORTERS = 4  # reporters of a suspicion that are kept and gossiped
 
 
 @dataclass(eq=False, slots=True)
 class Suspicion:
-    """Of one member, in one claim of its. `mine`: this process has itself probed it in vain."""
+    """The suspicion of one member. `confirmed_locally`: this process's own probe of it failed."""
 
     since: float
-    mine: bool
-    accusers: set[str]
+    confirmed_locally: bool
+    reporters: set[str]
     verify_at: float
 
 
 @dataclass(eq=False, slots=True)
 class Record:
-    """A member, and what this process alone knows of it."""
+    """A member, and the local observations of it."""
 
-    news: News
+    latest: MemberUpdate
     member: Member
-    raw: Raw
-    since: float  # of its state
-    heard: float = -1e9  # when a datagram of this life last came
-    noticed: float = -1e9  # when it was last told what is said of it
+    encoded: Raw
+    since: float  # of the current state
+    received_at: float = -1e9  # time of the last datagram
+    notified_at: float = -1e9  # when it was last sent its own recorded state
     rtt: float | None = None  # seconds; rises at once, falls slowly
     suspicion: Suspicion | None = None
-    former: tuple[str, int] | None = None  # where the life before this one was
+    old_address: tuple[str, int] | None = None  # of the previous incarnation
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it says it can be reached."""
-        return self.news.host, self.news.port
+        """The address that the member advertises."""
+        return self.latest.host, self.latest.port
 
     @property
-    def there(self) -> bool:
-        """Alive or suspected."""
-        return self.news.state <= State.SUSPECT
+    def is_live(self) -> bool:
+        """Whether the state is ALIVE or SUSPECT."""
+        return self.latest.state <= State.SUSPECT
 
 
 class Table:
-    """All members but this process itself by name; `changed` is called with each change a part may see."""
+    """The other members by name; `on_change` is called with each change that is visible to components."""
 
     def __init__(
         self,
-        me: News,
+        me: MemberUpdate,
         rng: random.Random,
-        changed: Callable[[Member], None],
-        about_me: Callable[[float, News], None],
+        on_change: Callable[[Member], None],
+        on_self_update: Callable[[float, MemberUpdate], None],
     ) -> None:
         self.me, self.rng = me, rng
         self.records: dict[str, Record] = {}
-        self.rumours = Rumours(LASTS)
-        self._changed, self._about_me = changed, about_me
+        self.rumours = GossipQueue(MAX_GOSSIP_AGE)
+        self._on_change, self._on_self_update = on_change, on_self_update
         self._members = {me.name: me.member()}
         self.members = MappingProxyType(self._members)
-        self._there: list[str] = []  # names, in no order, so that some can be drawn
-        self._place: dict[str, int] = {}  # in that list
-        self.gone: dict[str, None] = {}  # names that are dead or left, the oldest first
+        self._live_names: list[str] = []  # names in arbitrary order, for random sampling
+        self._live_index: dict[str, int] = {}  # index in that list
+        self.departed: dict[str, None] = {}  # names that are dead or have left, oldest first
         self.suspects: dict[str, Record] = {}
-        self.met: list[tuple[str, bool]] = []  # who has come; True: come back from the dead
+        self.joined: list[tuple[str, bool]] = []  # new members; True: returned from DEAD
 
     def __len__(self) -> int:
-        """How many are there, this process among them."""
-        return len(self._there) + 1
+        """The number of live members, including this process."""
+        return len(self._live_names) + 1
 
-    def there(self) -> Iterator[Record]:
-        """The records of those that are there."""
-        return (self.records[name] for name in self._there)
+    def live_records(self) -> Iterator[Record]:
+        """The records of the live members."""
+        return (self.records[name] for name in self._live_names)
 
-    def draw(self, count: int, fits: Callable[[Record], bool] | None = None) -> list[Record]:
-        """Some that are there, by chance and each once."""
+    def sample(self, count: int, matches: Callable[[Record], bool] | None = None) -> list[Record]:
+        """A random sample of the live members, without repeats."""
         found: list[Record] = []
-        if fits is None:
-            names = self.rng.sample(self._there, min(count, len(self._there)))
+        if matches is None:
+            names = self.rng.sample(self._live_names, min(count, len(self._live_names)))
             return [self.records[name] for name in names]
-        for name in self.rng.sample(self._there, min(len(self._there), 4 * count + 4)):
+        for name in self.rng.sample(self._live_names, min(len(self._live_names), 4 * count + 4)):
             record = self.records[name]
-            if fits(record):
+            if matches(record):
                 found.append(record)
                 if len(found) == count:
                     break
@@ -106,125 +106,125 @@
 
     # ---- this process itself --------------------------------------------------------------------------
 
-    def restate(self, now: float, **change: object) -> None:
-        """Say something new of this process."""
+    def update_self(self, now: float, **change: object) -> None:
+        """Change and gossip the record of this process."""
         self.me = structs.replace(self.me, **change)
         self.rumours.add(now, self.me.name, Raw(encode(self.me)))
         member = self.me.member()
         if member != self._members[member.name]:
             self._members[member.name] = member
-            self._changed(member)
+            self._on_change(member)
 
-    # ---- what is said of others -----------------------------------------------------------------------
+    # ---- other members -----------------------------------------------------------------------
 
-    def merge(self, now: float, news: News, exchange: bool = False) -> None:
-        """Take what somebody says of a member."""
-        if news.name == self.me.name:
-            self._about_me(now, news)
+    def merge(self, now: float, update: MemberUpdate, from_exchange: bool = False) -> None:
+        """Merge a received update of a member."""
+        if update.name == self.me.name:
+            self._on_self_update(now, update)
             return
-        record = self.records.get(news.name)
+        record = self.records.get(update.name)
         if record is None:
-            if news.state <= State.SUSPECT and len(self) < MOST_PEERS:
-                self._add(now, news)
+            if update.state <= State.SUSPECT and len(self) < MOST_PEERS:
+                self._add(now, update)
             return
-        mine, rank, known = record.news, news.rank, record.news.rank
-        if rank <= known:
-            if rank == known and record.suspicion is not None and news.accuser:
-                self._confirm(now, record, news.accuser)
+        latest, rank, known_rank = record.latest, update.rank, record.latest.rank
+        if rank <= known_rank:
+            if rank == known_rank and record.suspicion is not None and update.reporter:
+                self._confirm(now, record, update.reporter)
             return
         if (
-            news.state == State.DEAD
-            and record.there
-            and news.life == mine.life
-            and (exchange or now - record.heard < FRESH)
+            update.state == State.DEAD
+            and record.is_live
+            and update.boot_id == latest.boot_id
+            and (from_exchange or now - record.received_at < FRESH_FOR)
         ):
-            news = structs.replace(news, state=int(State.SUSPECT), accuser="")
-            if news.rank <= known:
+            update = structs.replace(update, state=int(State.SUSPECT), reporter="")
+            if update.rank <= known_rank:
                 return
-        if news.state <= State.SUSPECT and not record.there and len(self) >= MOST_PEERS:
+        if update.state <= State.SUSPECT and not record.is_live and len(self) >= MOST_PEERS:
             return
-        self.adopt(now, record, news)
-
-    def _add(self, now: float, news: News) -> None:
-        raw = Raw(encode(news))
-        record = self.records[news.name] = Record(news, news.member(), raw, now)
-        self._appear(news.name)
-        self._tell(now, record)
-
-    def adopt(self, now: float, record: Record, news: News, tell: bool = True) -> None:
-        """Put later news in place of what was known."""
-        before = record.news
-        was_there = record.there
-        if news.life != before.life:
-            record.former = record.address if was_there else None
-            record.heard = record.noticed = -1e9
+        self.replace(now, record, update)
+
+    def _add(self, now: float, update: MemberUpdate) -> None:
+        encoded = Raw(encode(update))
+        record = self.records[update.name] = Record(update, update.member(), encoded, now)
+        self._add_live(update.name)
+        self._apply(now, record)
+
+    def replace(self, now: float, record: Record, update: MemberUpdate, gossip: bool = True) -> None:
+        """Replace a member's record by a later update."""
+        before = record.latest
+        was_live = record.is_live
+        if update.boot_id != before.boot_id:
+            record.old_address = record.address if was_live else None
+            record.received_at = record.notified_at = -1e9
             record.rtt = None
-        record.news, record.raw = news, Raw(encode(news))
-        if news.state != before.state or news.life != before.life:
+        record.latest, record.encoded = update, Raw(encode(update))
+        if update.state != before.state or update.boot_id != before.boot_id:
             record.since = now
         record.suspicion = None
-        self.suspects.pop(news.name, None)
-        if record.there and not was_there:
-            del self.gone[news.name]
-            self._appear(news.name, before.state == State.DEAD)
-        elif was_there and not record.there:
-            self._vanish(news.name)
-        elif news.life != before.life and record.there:
-            self.met.append((news.name, False))
-        self._tell(now, record, tell)
-
-    def _tell(self, now: float, record: Record, tell: bool = True) -> None:
-        news = record.news
-        if news.state == State.SUSPECT:
-            accusers = {news.accuser} if news.accuser else set()
-            record.suspicion = Suspicion(now, False, accusers, now)
-            self.suspects[news.name] = record
-        if tell:
-            self.rumours.add(now, news.name, record.raw)
+        self.suspects.pop(update.name, None)
+        if record.is_live and not was_live:
+            del self.departed[update.name]
+            self._add_live(update.name, before.state == State.DEAD)
+        elif was_live and not record.is_live:
+            self._remove_live(update.name)
+        elif update.boot_id != before.boot_id and record.is_live:
+            self.joined.append((update.name, False))
+        self._apply(now, record, gossip)
+
+    def _apply(self, now: float, record: Record, gossip: bool = True) -> None:
+        update = record.latest
+        if update.state == State.SUSPECT:
+            reporters = {update.reporter} if update.reporter else set()
+            record.suspicion = Suspicion(now, False, reporters, now)
+            self.suspects[update.name] = record
+        if gossip:
+            self.rumours.add(now, update.name, record.encoded)
         else:
-            self.rumours.drop(news.name)
-        member = news.member()
-        if member != self._members.get(news.name):
-            self._members[news.name] = record.member = member
-            self._changed(member)
-
-    def _confirm(self, now: float, record: Record, accuser: str) -> None:
-        """One more has probed it in vain (Lifeguard, IV.B): its word is passed on as well."""
-        accusers = record.suspicion.accusers
-        if accuser not in accusers and len(accusers) < MOST_ACCUSERS:
-            accusers.add(accuser)
-            news = structs.replace(record.news, accuser=accuser)
-            self.rumours.add(now, news.name, Raw(encode(news)))
-
-    def suspect(self, now: float, record: Record, witnesses: set[str]) -> None:
-        """This process has probed it in vain; so have the witnesses, for this process."""
+            self.rumours.drop(update.name)
+        member = update.member()
+        if member != self._members.get(update.name):
+            self._members[update.name] = record.member = member
+            self._on_change(member)
+
+    def _confirm(self, now: float, record: Record, reporter: str) -> None:
+        """Count and gossip another process whose probe of the member failed (Lifeguard, IV.B)."""
+        reporters = record.suspicion.reporters
+        if reporter not in reporters and len(reporters) < MAX_REPORTERS:
+            reporters.add(reporter)
+            update = structs.replace(record.latest, reporter=reporter)
+            self.rumours.add(now, update.name, Raw(encode(update)))
+
+    def suspect(self, now: float, record: Record, confirmers: set[str]) -> None:
+        """Suspect a member after the probes of this process, and those of the confirmers for it, failed."""
         if record.suspicion is None:
-            self.adopt(
-                now, record, structs.replace(record.news, state=int(State.SUSPECT), accuser=self.me.name)
+            self.replace(
+                now, record, structs.replace(record.latest, state=int(State.SUSPECT), reporter=self.me.name)
             )
         suspicion = record.suspicion
-        if not suspicion.mine:
-            suspicion.mine, suspicion.since, suspicion.verify_at = True, now, now
+        if not suspicion.confirmed_locally:
+            suspicion.confirmed_locally, suspicion.since, suspicion.verify_at = True, now, now
             self._confirm(now, record, self.me.name)
-        suspicion.accusers.update(witnesses)
+        suspicion.reporters.update(confirmers)
 
-    # ---- who is there ---------------------------------------------------------------------------------
+    # ---- live members ---------------------------------------------------------------------------------
 
-    def _appear(self, name: str, back: bool = False) -> None:
-        self._place[name] = len(self._there)
-        self._there.append(name)
-        self.met.append((name, back))
+    def _add_live(self, name: str, returned: bool = False) -> None:
+        self._live_index[name] = len(self._live_names)
+        self._live_names.append(name)
+        self.joined.append((name, returned))
 
-    def _vanish(self, name: str) -> None:
-        place, last = self._place.pop(name), self._there.pop()
+    def _remove_live(self, name: str) -> None:
+        index, last = self._live_index.pop(name), self._live_names.pop()
         if last != name:
-            self._there[place] = last
-            self._place[last] = place
-        self.gone[name] = None
-        if len(self.gone) > MOST_PEERS:
-            self.forget(next(iter(self.gone)))
+            self._live_names[index] = last
+            self._live_index[last] = index
+        self.departed[name] = None
+        if len(self.departed) > MOST_PEERS:
+            self.forget(next(iter(self.departed)))
 
     def forget(self, name: str) -> None:
-        """Of one that is gone nothing is kept."""
-        del self.gone[name], self.records[name], self._members[name]
+        """Remove a member that is dead or has left."""
+        del self.departed[name], self.records[name], self._members[name]
         self.rumours.drop(name)
--- a/aspenrill/fleet/peers/wire.py
+++ b/aspenrill/fleet/peers/wire.py
@@ -1,9 +1,8 @@
-"""What processes of a fleet say to each other: MessagePack by msgspec, checked as it is decoded.
+"""The wire format between processes of a fleet: MessagePack through msgspec, validated while decoding.
 
-A datagram: 1 byte of version, 4 of the key's id, 16 of the tag, then a Packet. At most 1,200 bytes. The tag
-covers all else (`keys`). A Packet names the life of the process that it is for, so that what was recorded
-means nothing to another one, nor after a restart; within a life, each sender's counter tells what came
-before.
+A datagram of at most 1,200 bytes: 1 byte of version, 4 of the key id, 16 of the tag, then a Packet. The tag
+covers everything else (`keys`). A Packet names the boot id of its receiver, so that a recorded one is
+rejected by other processes and after a restart; the sender's counter detects replays before that.
 """
 
 from __future__ import annotations
@@ -16,47 +15,51 @@
 
 from ...errors import WireTrouble
 from ..interface import MOST_BODY, MOST_PEERS, MOST_VALUE, Entry, Member, Place, State
-from .keys import KEY_ID, TAG, Keys, same, tag
+from .keys import KEY_ID_BYTES, TAG_BYTES, Keys, equal, tag
 
 VERSION = b"\x01"
-MOST_DATAGRAM = 1200  # bytes
-HEAD = len(VERSION) + KEY_ID + TAG
-LIFE = 8  # bytes of a process's random id, new at each start
-WINDOW = 1024  # of a sender's datagrams, within which the order does not count
-MOST_SENDERS = 2 * MOST_PEERS
-
-PLAIN = r"^[!-~]*\Z"  # ASCII, so that a letter is a byte
-Name = Annotated[str, Meta(min_length=1, max_length=48, pattern=PLAIN)]
-Label = Annotated[str, Meta(max_length=32, pattern=PLAIN)]  # of a place
-Word = Annotated[str, Meta(min_length=1, max_length=32, pattern=PLAIN)]  # a part or a topic
-Life = Annotated[bytes, Meta(min_length=LIFE, max_length=LIFE)]
+MAX_DATAGRAM = 1200  # bytes
+HEADER_BYTES = len(VERSION) + KEY_ID_BYTES + TAG_BYTES
+BOOT_ID_BYTES = 8  # random, new at each start of a process
+REPLAY_WINDOW = 1024  # datagrams of a sender that may arrive out of order
+MAX_SENDERS = 2 * MOST_PEERS
+
+PRINTABLE_ASCII = r"^[!-~]*\Z"  # so that a character is one byte
+Name = Annotated[str, Meta(min_length=1, max_length=48, pattern=PRINTABLE_ASCII)]
+Label = Annotated[str, Meta(max_length=32, pattern=PRINTABLE_ASCII)]  # a component of a Place
+Word = Annotated[
+    str, Meta(min_length=1, max_length=32, pattern=PRINTABLE_ASCII)
+]  # the name of a component or of a topic
+BootId = Annotated[bytes, Meta(min_length=BOOT_ID_BYTES, max_length=BOOT_ID_BYTES)]
 Natural = Annotated[int, Meta(ge=0, lt=1 << 62)]
 Port = Annotated[int, Meta(ge=1, le=65535)]
 Host = Annotated[str, Meta(min_length=2, max_length=45, pattern=r"^[0-9a-fA-F:.]+$")]
 
 
-class News(Struct, array_like=True, frozen=True):
-    """What is said of a member. Later wins: by incarnation, then life, claim and state."""
+class MemberUpdate(Struct, array_like=True, frozen=True):
+    """The state of a member. The highest (incarnation, boot_id, refutations, state) wins."""
 
     name: Name
     incarnation: Natural
-    life: Life
-    claim: Natural  # raised by the member itself each time it refutes; SWIM calls this its incarnation
+    boot_id: BootId
+    refutations: Natural  # raised by the member with each refutation; SWIM's incarnation number
     state: Annotated[int, Meta(ge=0, le=3)]
     host: Host
     port: Port
     site: Label = ""
     building: Label = ""
     hall: Label = ""
-    accuser: Annotated[str, Meta(max_length=48, pattern=PLAIN)] = ""  # of a suspicion: who has probed in vain
+    reporter: Annotated[str, Meta(max_length=48, pattern=PRINTABLE_ASCII)] = (
+        ""  # of a suspicion: whose probe failed
+    )
 
     @property
     def rank(self) -> tuple[int, bytes, int, int]:
-        """The higher one is the later."""
-        return self.incarnation, self.life, self.claim, self.state
+        """The order of updates of one name."""
+        return self.incarnation, self.boot_id, self.refutations, self.state
 
     def member(self) -> Member:
-        """As parts see it."""
+        """Convert to the form that components use."""
         return Member(
             self.name,
             self.incarnation,
@@ -67,8 +70,8 @@
         )
 
 
-class Told(Struct, array_like=True, frozen=True):
-    """An entry of the board."""
+class EntryUpdate(Struct, array_like=True, frozen=True):
+    """An entry of the shared state."""
 
     origin: Name
     incarnation: Natural
@@ -76,88 +79,88 @@
     version: Natural
     value: Annotated[bytes, Meta(max_length=MOST_VALUE)]
 
-    def entry(self) -> Entry:
-        """As parts see it."""
+    def as_entry(self) -> Entry:
+        """Convert to the form that components use."""
         return Entry(self.origin, self.incarnation, self.topic, self.version, self.value)
 
 
 class Ping(Struct, array_like=True, tag=1, frozen=True):
-    """Are you there?"""
+    """A probe."""
 
     seq: Natural
 
 
 class Ack(Struct, array_like=True, tag=2, frozen=True):
-    """The answer, from the one asked or from who asked for another."""
+    """The answer to a Ping, or to a PingRequest whose target answered."""
 
     seq: Natural
 
 
-class PingFor(Struct, array_like=True, tag=3, frozen=True):
-    """Ask that one for me; `patience` in ms, within which an answer or a Nack is wanted."""
+class PingRequest(Struct, array_like=True, tag=3, frozen=True):
+    """Request an indirect probe; an Ack or a Nack is expected within `timeout_ms`."""
 
     seq: Natural
     name: Name
-    life: Life
+    boot_id: BootId
     host: Host
     port: Port
-    patience: Annotated[int, Meta(ge=1, le=60000)]
+    timeout_ms: Annotated[int, Meta(ge=1, le=60000)]
 
 
 class Nack(Struct, array_like=True, tag=4, frozen=True):
-    """I have asked for you and heard nothing yet: that I am well, you see."""
+    """The target of a PingRequest has not answered yet; shows that the sender itself is healthy."""
 
     seq: Natural
 
 
-class Mail(Struct, array_like=True, tag=5, frozen=True):
-    """From a part to the same part of another process."""
+class ComponentMessage(Struct, array_like=True, tag=5, frozen=True):
+    """A message to the same component of another process."""
 
-    part: Word
+    component: Word
     body: Annotated[bytes, Meta(max_length=MOST_BODY)]
 
 
-class Contest(Struct, array_like=True, tag=6, frozen=True):
-    """We have one name: are you there? `first` is the incarnation that the sender's life began with."""
+class NameProbe(Struct, array_like=True, tag=6, frozen=True):
+    """Probes another process with the sender's name. `first` is the sender's incarnation at its start."""
 
     seq: Natural
-    first: Natural
+    first_incarnation: Natural
 
 
-class Present(Struct, array_like=True, tag=7, frozen=True):
-    """The answer to a Contest."""
+class NameProbeAck(Struct, array_like=True, tag=7, frozen=True):
+    """The answer to a NameProbe."""
 
     seq: Natural
-    first: Natural
+    first_incarnation: Natural
 
 
-Message = Ping | Ack | PingFor | Nack | Mail | Contest | Present
+Message = Ping | Ack | PingRequest | Nack | ComponentMessage | NameProbe | NameProbeAck
 
 
 class Packet(Struct, array_like=True, frozen=True):
-    """One datagram. `to` is the life it is for; empty where the sender does not know it yet."""
+    """The content of a datagram. `to` is the receiver's boot id, empty if the sender does not know it."""
 
     sender: Name
     incarnation: Natural
-    life: Life
-    count: Natural
-    to: Annotated[bytes, Meta(max_length=LIFE)]
+    boot_id: BootId
+    counter: Natural
+    to: Annotated[bytes, Meta(max_length=BOOT_ID_BYTES)]
     message: Message | None
-    news: Annotated[list[News], Meta(max_length=64)]
-    told: Annotated[list[Told], Meta(max_length=64)]
+    updates: Annotated[list[MemberUpdate], Meta(max_length=64)]
+    entries: Annotated[list[EntryUpdate], Meta(max_length=64)]
 
 
-class _Sealed(Struct, array_like=True, frozen=True):
-    """A Packet on its way out, its news and entries encoded already."""
+class _EncodedPacket(Struct, array_like=True, frozen=True):
+    """A Packet whose updates and entries are already encoded."""
 
     sender: str
     incarnation: int
-    life: bytes
-    count: int
+    boot_id: bytes
+    counter: int
     to: bytes
     message: Message | None
-    news: list[Raw]
-    told: list[Raw]
+    updates: list[Raw]
+    entries: list[Raw]
 
 
 encode = msgspec.msgpack.Encoder().encode
@@ -167,72 +170,78 @@
 def seal(
     keys: Keys,
     sender: tuple[str, int, bytes],
-    count: int,
+    counter: int,
     to: bytes,
     message: Message | None,
-    news: list[Raw],
-    told: list[Raw],
+    updates: list[Raw],
+    entries: list[Raw],
 ) -> bytes:
-    """A datagram. ValueError where it is too large: what is put into it is measured before."""
-    body = encode(_Sealed(*sender, count, to, message, news, told))
-    head = VERSION + keys.first.id
-    data = head + tag(keys.first.datagrams, head, body) + body
-    if len(data) > MOST_DATAGRAM:
-        raise ValueError(f"a datagram of {len(data)} bytes")
+    """Build a datagram. ValueError if it is too large: callers must size its content."""
+    body = encode(_EncodedPacket(*sender, counter, to, message, updates, entries))
+    head = VERSION + keys.primary.id
+    data = head + tag(keys.primary.datagrams, head, body) + body
+    if len(data) > MAX_DATAGRAM:
+        raise ValueError(f"datagram of {len(data)} bytes exceeds {MAX_DATAGRAM}")
     return data
 
 
 def unseal(keys: Keys, data: bytes) -> Packet:
-    """The Packet of a datagram; WireTrouble where it is not ours or not whole."""
-    if len(data) > MOST_DATAGRAM:
+    """Authenticate and decode a datagram; WireTrouble if it is not valid."""
+    if len(data) > MAX_DATAGRAM:
         raise WireTrouble("too large")
-    if len(data) <= HEAD:
+    if len(data) <= HEADER_BYTES:
         raise WireTrouble("cut")
     if data[:1] != VERSION:
         raise WireTrouble("version")
-    head, mac, body = data[: 1 + KEY_ID], data[1 + KEY_ID : HEAD], data[HEAD:]
+    head, mac, body = data[: 1 + KEY_ID_BYTES], data[1 + KEY_ID_BYTES : HEADER_BYTES], data[HEADER_BYTES:]
     key = keys.by_id.get(head[1:])
     if key is None:
         raise WireTrouble("key")
-    if not same(tag(key.datagrams, head, body), mac):
+    if not equal(tag(key.datagrams, head, body), mac):
         raise WireTrouble("tag")
     try:
         return _decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:  # a validation error is one too
+    except (
+        msgspec.DecodeError,
+        UnicodeDecodeError,
+        RecursionError,
+    ) as why:  # DecodeError includes validation errors
         raise WireTrouble("form", f"form: {why}") from None
 
 
-def size_of(sender: str, message: Message | None) -> int:
-    """Bytes that a datagram takes without news and entries, at most."""
-    return HEAD + len(sender.encode()) + (len(encode(message)) if message is not None else 1) + 48
+def max_overhead(sender: str, message: Message | None) -> int:
+    """Upper bound of a datagram's size without updates and entries, in bytes."""
+    return HEADER_BYTES + len(sender.encode()) + (len(encode(message)) if message is not None else 1) + 48
 
 
-class Replays:
-    """Turns away what has come before (as in RFC 4303, 3.4.3): by sender's life a window of counters.
+class ReplayFilter:
+    """Rejects replayed datagrams with a sliding window of counters for each sender (as RFC 4303, 3.4.3).
 
-    The senders heard least recently are forgotten first. Whoever is new here begins with what it sends.
+    Senders are evicted in least recently used order. The first counter of an unknown sender is accepted.
     """
 
-    def __init__(self, most: int = MOST_SENDERS, window: int = WINDOW) -> None:
-        self.most, self.window = most, window
-        self._full = (1 << window) - 1
-        self._seen: OrderedDict[bytes, tuple[int, int]] = OrderedDict()  # by life: highest, bits below it
-
-    def check(self, life: bytes, count: int) -> None:
-        """Take note of a datagram; WireTrouble where it came before, or where nobody can tell any more."""
-        top, bits = self._seen.get(life, (-1, 0))
-        if count > top:
-            shift = count - top
-            bits = (bits << shift | 1) & self._full if shift < self.window else 1
-            top = count
+    def __init__(self, max_senders: int = MAX_SENDERS, window: int = REPLAY_WINDOW) -> None:
+        self.max_senders, self.window = max_senders, window
+        self._mask = (1 << window) - 1
+        self._seen: OrderedDict[bytes, tuple[int, int]] = (
+            OrderedDict()
+        )  # by boot id: highest counter, bitmap below it
+
+    def check(self, boot_id: bytes, counter: int) -> None:
+        """Record a datagram; WireTrouble if it is a repeat or older than the window."""
+        highest, bits = self._seen.get(boot_id, (-1, 0))
+        if counter > highest:
+            shift = counter - highest
+            bits = (bits << shift | 1) & self._mask if shift < self.window else 1
+            highest = counter
         else:
-            bit = 1 << (top - count)
-            if top - count >= self.window:
+            bit = 1 << (highest - counter)
+            if highest - counter >= self.window:
                 raise WireTrouble("too old")
             if bits & bit:
                 raise WireTrouble("repeat")
             bits |= bit
-        self._seen[life] = top, bits
-        self._seen.move_to_end(life)
-        if len(self._seen) > self.most:
+        self._seen[boot_id] = highest, bits
+        self._seen.move_to_end(boot_id)
+        if len(self._seen) > self.max_senders:
             self._seen.popitem(last=False)
--- a/aspenrill/fleet/service.py
+++ b/aspenrill/fleet/service.py
@@ -19,7 +19,7 @@
 from .peers.keys import read_keys
 from .peers.link import Link
 from .peers.node import Peers
-from .peers.wire import LIFE
+from .peers.wire import BOOT_ID_BYTES
 
 LONGEST_WAIT = 0.1  # seconds between two looks at what is due
 NOTES, NOTES_IN = 30, 60.0  # log lines of one part, and of one reason to refuse, in so many seconds
@@ -120,7 +120,7 @@
             raise
         address = config.advertise or self.link.address
         self.peers = self.link.peers = Peers(
-            Self(config.name, incarnation, os.urandom(LIFE), address, config.place, config.seeds),
+            Self(config.name, incarnation, os.urandom(BOOT_ID_BYTES), address, config.place, config.seeds),
             keys,
             config.pace,
             random.Random(os.urandom(16)),
@@ -366,7 +366,7 @@
             "members": len(peers.table),
             "sent": link.sent,
             "unsent": link.unsent,
-            "got": link.got,
+            "got": link.received,
             "exchanges": link.exchanges,
             "failed exchanges": link.failed_exchanges,
             "failed probes": peers.detector.failed,
--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -1,4 +1,4 @@
-"""Members, board and mail of a fleet on a virtual clock, what is checked of them and what the checks find."""
+"""Membership, shared state and messages of a simulated fleet on a virtual clock, with planted defects."""
 
 from __future__ import annotations
 
@@ -14,41 +14,42 @@
 from aspenrill.fleet.peers.node import Peers
 from standins.peersim import PeerSim
 
-NOTICED, HEALED = 5.0, 30.0  # seconds within which a death is known to all, and a partition is over
+DETECTION_TIME = 5.0  # seconds within which every member knows of a death
+HEALING_TIME = 30.0  # seconds within which a healed partition has no more effect
 
 
 def fleet(size: int, seed: int = 1, **more) -> PeerSim:
-    """A fleet in which all know each other and nothing is new any more."""
+    """A simulated fleet that has converged."""
     sim = PeerSim(seed, size, **more)
     assert sim.until(lambda: len(sim.nodes) == size and sim.all_alive(), 30.0)
     sim.run(3.0)
     return sim
 
 
-# ---- what holds, each as a scene that says what went wrong ----------------------------------------------
+# ---- scenarios, which assert an invariant ----------------------------------------------
 
 
-def no_false_death(make=Peers, size: int = 12, seconds: float = 60.0) -> None:
+def no_live_member_is_declared_dead(make=Peers, size: int = 12, seconds: float = 60.0) -> None:
     sim = fleet(size, make=make)
     sim.loss = 0.1
     sim.run(seconds)
     assert not sim.deaths() and sim.all_alive()
 
 
-def a_death_is_noticed_by_all(make=Peers, size: int = 12) -> list[float]:
+def every_member_detects_a_death(make=Peers, size: int = 12) -> list[float]:
     sim, took = fleet(size, make=make), []
     for name in ("n1", f"n{size - 1}"):
         since = sim.now
         sim.kill(name)
-        sim.run(NOTICED)
+        sim.run(DETECTION_TIME)
         found = [at - since for at, _, who in sim.deaths(since) if who == name]
-        assert len(found) == len(sim.nodes), f"{name}: noticed by {len(found)}"
+        assert len(found) == len(sim.nodes), f"{name}: detected by {len(found)}"
         took += found
     assert not [who for _, _, who in sim.deaths() if who in sim.nodes]
     return took
 
 
-def partitions_heal_into_any_shape(make=Peers, seed: int = 1) -> None:
+def partitions_change_and_heal(make=Peers, seed: int = 1) -> None:
     sim = fleet(9, seed, make=make)
     names = list(sim.nodes)
     for sides in ([set(names[:3]), set(names[3:6])], [set(names[::2])], []):
@@ -60,17 +61,21 @@
                 for a in names
                 for b in names
             ),
-            HEALED,
+            HEALING_TIME,
         ), sides
         sim.run(5.0)
         assert not [d for d in sim.deaths(since) if not sim.apart(*d[1:])]
 
 
-def who_stood_still_judges_nobody_by_it(make=Peers) -> None:
+def a_paused_process_declares_nobody_dead(make=Peers) -> None:
     sim = fleet(9, make=make)
     sim.cut([{"n0"}])
     assert sim.until(
-        lambda: any(r.suspicion is not None and r.suspicion.mine for r in sim.nodes["n0"].table.there()), 5.0
+        lambda: any(
+            r.suspicion is not None and r.suspicion.confirmed_locally
+            for r in sim.nodes["n0"].table.live_records()
+        ),
+        5.0,
     )
     sim.pause("n0", 10.0)
     sim.cut([])
@@ -78,7 +83,7 @@
     assert not [who for _, by, who in sim.deaths() if by == "n0"] and sim.all_alive()
 
 
-def entries_go_forward_and_reach_all(make=Peers) -> None:
+def entries_reach_everyone_in_version_order(make=Peers) -> None:
     sim = fleet(9, make=make, delay=0.15)
     sim.loss = sim.repeat = 0.1
     for number in range(20):
@@ -97,7 +102,7 @@
         assert found == {"n0": b"19", "n5": b"19"}
 
 
-def mail_comes_once(make=Peers) -> None:
+def messages_are_delivered_once(make=Peers) -> None:
     sim = fleet(5, make=make)
     sim.repeat = 0.5
     for number in range(50):
@@ -109,36 +114,38 @@
     assert len(bodies) == 50 and set(bodies.values()) == {1}
 
 
-def of_two_of_one_name_the_younger_steps_back(make=Peers) -> None:
+def the_younger_of_two_processes_with_one_name_withdraws(make=Peers) -> None:
     sim = fleet(5, make=make)
-    elder = sim.nodes["n2"].table.me.life
+    elder = sim.nodes["n2"].table.me.boot_id
     sim.start("n2", ("10.0.0.1", 5555), "twin")
     sim.run(8.0)
-    trouble = [event.trouble for event in sim.troubles("twin")]
+    conflicts = [event.trouble for event in sim.troubles("twin")]
     assert sim.nodes["twin"].names.fenced and not sim.nodes["n2"].names.fenced
-    assert len(trouble) == 1 and "10.0.0.1:1002" in trouble[0].line() and "n2" in str(trouble[0])
-    assert all(sim.nodes[name].table.records["n2"].news.life == elder for name in ("n0", "n1", "n3", "n4"))
+    assert len(conflicts) == 1 and "10.0.0.1:1002" in conflicts[0].line() and "n2" in str(conflicts[0])
+    assert all(
+        sim.nodes[name].table.records["n2"].latest.boot_id == elder for name in ("n0", "n1", "n3", "n4")
+    )
     assert sim.all_alive("n0", "n1", "n2", "n3", "n4")
     sim.kill("n2")
-    assert sim.until(sim.all_alive, HEALED) and not sim.nodes["twin"].names.fenced
+    assert sim.until(sim.all_alive, HEALING_TIME) and not sim.nodes["twin"].names.fenced
 
 
-def traffic_is_flat(make=Peers) -> None:
-    told = []
+def traffic_for_each_member_is_constant(make=Peers) -> None:
+    rates = []
     for size in (10, 40):
         sim = fleet(size, make=make)
         sim.run(10.0)
         before = sum(sim.bytes.values())
         sim.run(5.0)
-        told.append((sum(sim.bytes.values()) - before) / size)
-    assert told[1] < 2 * told[0], told
+        rates.append((sum(sim.bytes.values()) - before) / size)
+    assert rates[1] < 2 * rates[0], rates
 
 
-# ---- planted defects ------------------------------------------------------------------------------------
+# ---- defects -------------------------------------------------------------------------------------------
 
 
-def planted(change):
-    """A machine with one thing about it changed."""
+def with_defect(change):
+    """A factory of peer nodes with one behaviour replaced."""
 
     def make(*args):
         peers = Peers(*args)
@@ -148,151 +155,162 @@
     return make
 
 
-def hasty(peers):
-    """Takes one silence for a death."""
-    peers.detector.verdict_at = lambda record: record.suspicion.since
-    peers.detector._ask_others = lambda now, seq, probe, record: setattr(probe, "stage", 1)
+def no_suspicion_timeout(peers):
+    """Declares a member dead as soon as it is suspected."""
+    peers.detector.declare_dead_at = lambda record: record.suspicion.since
+    peers.detector._probe_indirectly = lambda now, seq, probe, record: setattr(probe, "stage", 1)
 
 
-def patient(peers):
-    """Suspects, and leaves it at that."""
-    peers.detector.verdict_at = lambda record: float("inf")
+def never_declares_dead(peers):
+    """Suspects members but never declares them dead."""
+    peers.detector.declare_dead_at = lambda record: float("inf")
 
 
-def resigned(peers):
-    """Lets the dead rest."""
+def never_reconnects(peers):
+    """Never probes dead members or seeds again."""
     peers._reconnect_at = peers._seed_at = float("inf")
 
 
-def sleepy(peers):
-    """Does not notice that it stood still."""
-    peers.detector.paused = lambda now: None
+def ignores_own_pauses(peers):
+    """Does not detect that it was paused."""
+    peers.detector.on_pause = lambda now: None
 
 
-def gullible(peers):
-    """Takes whatever entry comes last."""
+def ignores_versions(peers):
+    """Stores whatever entry arrives last."""
 
-    def hear(now, told):
-        if told.origin != peers.table.me.name:
-            peers.board._keep(now, told)
-            peers.board._changed(told.entry())
+    def merge(now, entry):
+        if entry.origin != peers.table.me.name:
+            peers.board._store(now, entry)
+            peers.board._on_change(entry.as_entry())
 
-    peers.board.hear = hear
+    peers.board.merge = merge
 
 
-def twice(peers):
-    """Takes repeats."""
-    peers.replays.check = lambda life, count: None
+def accepts_replays(peers):
+    """Accepts replayed datagrams."""
+    peers.replay_filter.check = lambda boot_id, count: None
 
 
-def proud(peers):
-    """Does not answer who has its name."""
+def ignores_name_conflicts(peers):
+    """Does not answer processes with its own name."""
     peers.names.on_packet = lambda now, packet, address: None
 
 
-def chatty(peers):
-    """Has exchanges with more of them the more there are."""
+def exchanges_too_often(peers):
+    """Runs exchanges more often the larger the fleet is."""
     peers._sync_period = lambda: 10.0 / len(peers.table)
 
 
-SCENES = [
-    no_false_death,
-    a_death_is_noticed_by_all,
-    partitions_heal_into_any_shape,
-    who_stood_still_judges_nobody_by_it,
-    entries_go_forward_and_reach_all,
-    mail_comes_once,
-    of_two_of_one_name_the_younger_steps_back,
-    traffic_is_flat,
+SCENARIOS = [
+    no_live_member_is_declared_dead,
+    every_member_detects_a_death,
+    partitions_change_and_heal,
+    a_paused_process_declares_nobody_dead,
+    entries_reach_everyone_in_version_order,
+    messages_are_delivered_once,
+    the_younger_of_two_processes_with_one_name_withdraws,
+    traffic_for_each_member_is_constant,
+]
+DEFECTS = [
+    no_suspicion_timeout,
+    never_declares_dead,
+    never_reconnects,
+    ignores_own_pauses,
+    ignores_versions,
+    accepts_replays,
+    ignores_name_conflicts,
+    exchanges_too_often,
 ]
-DEFECTS = [hasty, patient, resigned, sleepy, gullible, twice, proud, chatty]
 
 
-@pytest.mark.parametrize("scene", SCENES, ids=lambda scene: scene.__name__)
-def test_holds(scene):
-    scene()
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
+def test_invariants_hold(scenario):
+    scenario()
 
 
-PAIRS = list(zip(SCENES, DEFECTS, strict=True))
+PAIRS = list(zip(SCENARIOS, DEFECTS, strict=True))
 
 
-@pytest.mark.parametrize("scene, defect", PAIRS, ids=lambda one: one.__name__)
-def test_finds_what_is_planted(scene, defect):
+@pytest.mark.parametrize("scenario, defect", PAIRS, ids=lambda one: one.__name__)
+def test_scenarios_detect_defects(scenario, defect):
     with pytest.raises(AssertionError):
-        scene(planted(defect))
+        scenario(with_defect(defect))
 
 
-# ---- more scenes ----------------------------------------------------------------------------------------
+# ---- more scenarios -------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("size", [3, 30, 100])
-def test_deaths_are_noticed_in_time_at_any_size(size):
-    took = a_death_is_noticed_by_all(size=size)
+def test_deaths_are_detected_in_time_at_any_size(size):
+    took = every_member_detects_a_death(size=size)
     assert statistics.median(took) < 2.0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_partitions_by_seed(seed):
-    partitions_heal_into_any_shape(seed=seed + 10)
+def test_partitions_for_several_seeds(seed):
+    partitions_change_and_heal(seed=seed + 10)
 
 
-def test_a_third_killed_at_once():
+def test_a_third_of_the_fleet_is_killed_at_once():
     sim = fleet(18)
     since, dead = sim.now, {f"n{number}" for number in range(6)}
     for name in dead:
         sim.kill(name)
     assert sim.until(
-        lambda: all(sim.state(name, other) is State.DEAD for name in sim.nodes for other in dead), NOTICED + 2
+        lambda: all(sim.state(name, other) is State.DEAD for name in sim.nodes for other in dead),
+        DETECTION_TIME + 2,
     )
     assert {who for _, _, who in sim.deaths(since)} == dead
 
 
-def test_a_slow_link_with_loss_is_no_death():
+def test_a_slow_lossy_link_is_not_a_death():
     sim = fleet(9)
     sim.links["n4"] = 0.3, 0.2
     sim.run(120.0)
     assert not sim.deaths()
 
 
-def test_one_who_hears_nothing_is_out_and_comes_back():
+def test_a_member_that_receives_nothing_is_declared_dead_and_returns():
     sim = fleet(6)
     sim.deaf.add("n3")
     sim.run(15.0)
     assert {sim.state(name, "n3") for name in sim.nodes if name != "n3"} <= {State.DEAD, State.SUSPECT}
     assert {who for _, by, who in sim.deaths() if by != "n3"} == {"n3"}
     sim.deaf.clear()
-    assert sim.until(sim.all_alive, HEALED)
+    assert sim.until(sim.all_alive, HEALING_TIME)
 
 
 @pytest.mark.parametrize("port", [1002, 7777])
-def test_a_restart_fences_the_former_life(port):
+def test_a_restart_fences_the_earlier_run(port):
     sim = fleet(5)
     sim.nodes["n2"].put(sim.now, "load", b"former")
     sim.touch("n2")
     sim.run(2.0)
-    former = sim.kill("n2")
+    earlier = sim.kill("n2")
     sim.start("n2", ("10.0.0.1", port))
     assert sim.until(sim.all_alive, 10.0)
-    assert sim.nodes["n2"].table.me.incarnation > former.table.me.incarnation
+    assert sim.nodes["n2"].table.me.incarnation > earlier.table.me.incarnation
     assert all(not list(node.board.entries("load")) for node in sim.nodes.values())
-    former.post(sim.now, "n0", "part", b"late")  # it was only held up, and speaks again
-    for address, data in former.take_out():
+    earlier.post(sim.now, "n0", "part", b"late")  # it was only paused and sends again
+    for address, data in earlier.take_out():
         sim._deliver("n0", address, data)
     assert sim.nodes["n0"].refused["former life"] == 1
     assert not [event for _, event in sim.calls["n0"] if isinstance(event, Posted)]
 
 
-def test_a_lost_clock_does_not_keep_a_restart_out():
+def test_a_restart_with_a_clock_set_back_can_rejoin():
     sim = fleet(5)
     sim.kill("n2")
-    now, sim.now = sim.now, 1.0  # its clock was set back: its incarnation is lower than the former one
+    # the clock was set back, so the incarnation is lower than that of the earlier run
+    now, sim.now = sim.now, 1.0
     sim.start("n2", ("10.0.0.1", 7777))
     sim.now = now
-    sim.nodes["n2"]._expected = now
-    assert sim.until(sim.all_alive, HEALED)
+    sim.nodes["n2"]._expected_tick_at = now
+    assert sim.until(sim.all_alive, HEALING_TIME)
 
 
-def test_who_leaves_is_known_to_have_left_and_runs_out():
+def test_a_member_that_left_is_known_as_left_and_expires():
     sim = fleet(5)
     sim.nodes["n1"].put(sim.now, "load", b"x")
     sim.touch("n1")
@@ -303,14 +321,14 @@
     sim.kill("n1")
     assert {sim.state(name, "n1") for name in sim.nodes} == {State.LEFT} and not sim.deaths()
     sim.run(70.0)
-    assert all("n1" not in node.board.told for node in sim.nodes.values())
+    assert all("n1" not in node.board.by_origin for node in sim.nodes.values())
     for node in sim.nodes.values():
-        node.pace = type(node.pace)(forget=60.0)
+        node.pace = type(node.pace)(forget_after=60.0)
     sim.run(10.0)
-    assert all("n1" not in node.table.members and not node.table.gone for node in sim.nodes.values())
+    assert all("n1" not in node.table.members and not node.table.departed for node in sim.nodes.values())
 
 
-def test_more_than_can_be_kept_is_not():
+def test_limits_of_entries_messages_and_members():
     sim = fleet(3)
     node = sim.nodes["n0"]
     for topic in range(16):
@@ -321,21 +339,21 @@
         node.put(sim.now, "t1", b"x" * 601)
     with pytest.raises(ValueError):
         node.post(sim.now, "n1", "part", b"x" * 901)
-    news = node.table.records["n1"].news
+    latest = node.table.records["n1"].latest
     for number in range(3000):
-        node.table.merge(sim.now, type(news)(f"x{number}", 1, b"12345678", 0, 0, "10.0.0.9", 99))
+        node.table.merge(sim.now, type(latest)(f"x{number}", 1, b"12345678", 0, 0, "10.0.0.9", 99))
     assert len(node.table) == 1100
-    for record in list(node.table.there()):
-        node.table.adopt(
+    for record in list(node.table.live_records()):
+        node.table.replace(
             sim.now,
             record,
-            type(news)(record.news.name, 1 << 50, b"12345678", 0, int(State.DEAD), "10.0.0.9", 9),
+            type(latest)(record.latest.name, 1 << 50, b"12345678", 0, int(State.DEAD), "10.0.0.9", 9),
         )
-    assert len(node.table.gone) <= 1100 and len(node.table.members) == len(node.table.records) + 1
+    assert len(node.table.departed) <= 1100 and len(node.table.members) == len(node.table.records) + 1
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_any_order_of_faults_ends_well(seed):
+def test_the_fleet_converges_after_any_order_of_faults(seed):
     rng, sim = random.Random(seed), fleet(7, seed)
     ports, stopped = 2000, set()
     for _ in range(12):
@@ -360,10 +378,10 @@
     sim.cut([])
     sim.loss = sim.repeat = 0.0
     sim.run(25.0)
-    assert sim.until(sim.all_alive, HEALED)
+    assert sim.until(sim.all_alive, HEALING_TIME)
     dead = [n for n in stopped if any(sim.state(name, n) is State.ALIVE for name in sim.nodes)]
     assert not dead and not any(sim.troubles(name) for name in sim.nodes)
-    for calls in sim.calls.values():  # an incarnation never goes back
+    for calls in sim.calls.values():  # incarnations never decrease
         last: dict[str, int] = {}
         for _, event in calls:
             if isinstance(event, Member):
@@ -371,15 +389,15 @@
                 last[event.name] = event.incarnation
 
 
-def test_who_missed_a_refutation_hears_it_as_soon_as_it_says_what_it_believes():
+def test_a_refutation_is_repeated_to_a_member_that_missed_it():
     sim = fleet(5)
     known = sim.nodes["n2"].table.me
-    refuted = structs.replace(known, claim=known.claim + 1)
-    sim.nodes["n2"].table.me = refuted  # all but n1 have heard of it, and it is no news any more
+    refuted = structs.replace(known, refutations=known.refutations + 1)
+    sim.nodes["n2"].table.me = refuted  # all but n1 know it, and it is no longer gossiped
     for name in ("n0", "n3", "n4"):
         sim.nodes[name].table.merge(sim.now, refuted)
         sim.nodes[name].table.rumours.drop("n2")
-    sim.nodes["n1"].table.merge(sim.now, structs.replace(known, state=int(State.SUSPECT), accuser="n1"))
+    sim.nodes["n1"].table.merge(sim.now, structs.replace(known, state=int(State.SUSPECT), reporter="n1"))
     assert sim.state("n1", "n2") is State.SUSPECT
     assert sim.until(lambda: sim.state("n1", "n2") is State.ALIVE, 3.0)
-    assert sim.nodes["n2"].table.me.claim == refuted.claim  # said again, not raised
+    assert sim.nodes["n2"].table.me.refutations == refuted.refutations  # repeated, not raised
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -1,4 +1,4 @@
-"""What goes over the wire between processes of a fleet: tags, keys, repeats, sizes, streams. No sockets."""
+"""The peer wire format: tags, keys, replays, sizes and streams; also key files, store and configuration."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from aspenrill.fleet.peers import wire
 from aspenrill.fleet.peers.detector import Pace
 from aspenrill.fleet.peers.events import Self
-from aspenrill.fleet.peers.exchange import Exchange, Seal
+from aspenrill.fleet.peers.exchange import Exchange, StreamAuth
+from aspenrill.fleet.peers.gossip_queue import GossipQueue
 from aspenrill.fleet.peers.keys import Keys, read_keys
 from aspenrill.fleet.peers.node import Peers
-from aspenrill.fleet.peers.rumours import Rumours
 
 OLD, NEW = b"o" * 32, b"n" * 32
-LIFE = b"l" * 8
-ME = "a", 7, LIFE
+BOOT_ID = b"l" * 8
+ME = "a", 7, BOOT_ID
 
 
-def news(name: str = "b", state: State = State.ALIVE, **more) -> wire.News:
-    return wire.News(
+def update(name: str = "b", state: State = State.ALIVE, **more) -> wire.MemberUpdate:
+    return wire.MemberUpdate(
         **{
             "name": name,
             "incarnation": 5,
-            "life": b"m" * 8,
-            "claim": 0,
+            "boot_id": b"m" * 8,
+            "refutations": 0,
             "state": int(state),
             "host": "10.0.0.2",
             "port": 80,
@@ -41,38 +41,40 @@
     )
 
 
-def datagram(keys: Keys, message=None, *pieces: wire.News, count: int = 1, to: bytes = LIFE) -> bytes:
+def datagram(
+    keys: Keys, message=None, *pieces: wire.MemberUpdate, count: int = 1, to: bytes = BOOT_ID
+) -> bytes:
     return wire.seal(keys, ME, count, to, message, [Raw(wire.encode(one)) for one in pieces], [])
 
 
-def refused(keys: Keys, data: bytes) -> str:
+def rejection(keys: Keys, data: bytes) -> str:
     with pytest.raises(WireTrouble) as why:
         wire.unseal(keys, data)
     return why.value.reason
 
 
-def test_what_is_sealed_comes_out_and_nothing_else_does():
+def test_only_an_unmodified_datagram_is_accepted():
     keys = Keys("f", [OLD])
-    data = datagram(keys, wire.Mail("overload", b"x" * 900), news())
+    data = datagram(keys, wire.ComponentMessage("overload", b"x" * 900), update())
     packet = wire.unseal(keys, data)
-    assert (packet.sender, packet.life, packet.message.body) == ("a", LIFE, b"x" * 900)
-    assert packet.news == [news()] and len(data) <= wire.MOST_DATAGRAM
+    assert (packet.sender, packet.boot_id, packet.message.body) == ("a", BOOT_ID, b"x" * 900)
+    assert packet.updates == [update()] and len(data) <= wire.MAX_DATAGRAM
     for at in range(len(data)):
-        spoilt = data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
-        assert refused(keys, spoilt) in ("version", "key", "tag")
-        assert refused(keys, data[:at]) in ("cut", "tag")
-    assert refused(keys, data + b"x" * 1200) == "too large"
+        malformed = data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
+        assert rejection(keys, malformed) in ("version", "key", "tag")
+        assert rejection(keys, data[:at]) in ("cut", "tag")
+    assert rejection(keys, data + b"x" * 1200) == "too large"
     with pytest.raises(ValueError):
-        datagram(keys, None, *[news(f"member-{n}") for n in range(40)])
+        datagram(keys, None, *[update(f"member-{n}") for n in range(40)])
 
 
-def test_the_largest_mail_goes_with_whatever_else_there_is_to_tell():
+def test_the_largest_message_and_gossip_fit_into_one_datagram():
     long = "x" * 48
     peers = Peers(
         Self(
             long,
             1 << 61,
-            LIFE,
+            BOOT_ID,
             ("1234:5678:9abc:def0:1234:5678:9abc:def0", 65535),
             Place("s" * 32, "b" * 32, "h" * 32),
         ),
@@ -85,11 +87,11 @@
         name = f"{number}" * 48
         peers.table.merge(
             0.0,
-            news(
+            update(
                 name,
                 state,
                 incarnation=1 << 61,
-                accuser=long,
+                reporter=long,
                 site="s" * 32,
                 building="b" * 32,
                 hall="h" * 32,
@@ -98,99 +100,99 @@
         peers.put(0.0, "t" * 32, b"v" * 600)
         assert peers.post(0.0, name, "p" * 32, b"b" * 900)
         peers.detector.tick(1.0)
-    assert max(len(data) for _, data in peers.take_out()) <= wire.MOST_DATAGRAM
+    assert max(len(data) for _, data in peers.take_out()) <= wire.MAX_DATAGRAM
 
 
-def test_two_keys_at_once_and_the_fleets_name():
+def test_key_rotation_and_fleet_names():
     one, both, other = Keys("f", [OLD]), Keys("f", [NEW, OLD]), Keys("g", [OLD])
     assert wire.unseal(both, datagram(one)).sender == "a"
-    assert refused(one, datagram(both)) == "key"  # the first makes tags
-    assert refused(other, datagram(one)) == "tag"
+    assert rejection(one, datagram(both)) == "key"  # tags are made with the first key
+    assert rejection(other, datagram(one)) == "tag"
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
-        news(state=7),
-        news(port=0),
-        news(host="engine.example"),
-        news(life=b"x"),
-        news(name="x" * 49),
-        news(incarnation=-1),
-        news(site="s" * 33),
+        update(state=7),
+        update(port=0),
+        update(host="engine.example"),
+        update(boot_id=b"x"),
+        update(name="x" * 49),
+        update(incarnation=-1),
+        update(site="s" * 33),
         "text",
         7,
     ],
 )
-def test_forms_that_are_none(spoilt):
+def test_malformed_updates_are_rejected(malformed):
     keys = Keys("f", [OLD])
-    assert refused(keys, datagram(keys, None, spoilt)) == "form"
+    assert rejection(keys, datagram(keys, None, malformed)) == "form"
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=300))
-def test_whatever_a_key_holder_sends_is_refused_or_a_packet(body):
+def test_any_authentic_body_is_a_packet_or_rejected(body):
     keys = Keys("f", [OLD])
-    head = wire.VERSION + keys.first.id
-    data = head + wire.tag(keys.first.datagrams, head, body) + body
+    head = wire.VERSION + keys.primary.id
+    data = head + wire.tag(keys.primary.datagrams, head, body) + body
     try:
         wire.unseal(keys, data)
     except WireTrouble as why:
         assert why.reason in ("form", "cut")
 
 
-class ForgetsTheWindow(wire.Replays):
-    """Planted: takes whatever is within the window."""
+class IgnoresTheBitmap(wire.ReplayFilter):
+    """Defect: accepts repeats within the window."""
 
-    def check(self, life, count):
-        self._seen.pop(life, None)
-        super().check(life, count)
+    def check(self, boot_id, count):
+        self._seen.pop(boot_id, None)
+        super().check(boot_id, count)
 
 
-class ForgetsTheAge(wire.Replays):
-    """Planted: what is behind the window counts as new."""
+class IgnoresTheAge(wire.ReplayFilter):
+    """Defect: accepts counters older than the window."""
 
-    def check(self, life, count):
-        top = self._seen.get(life, (-1, 0))[0]
-        if top - count < self.window:
-            super().check(life, count)
+    def check(self, boot_id, count):
+        highest = self._seen.get(boot_id, (-1, 0))[0]
+        if highest - count < self.window:
+            super().check(boot_id, count)
 
 
-def taken_once(replays: wire.Replays, counts: list[int]) -> None:
-    """Each count is taken once at most, and each that is not older than the window is taken."""
-    taken, top = set(), -1
+def check_accepted_once(replay_filter: wire.ReplayFilter, counts: list[int]) -> None:
+    """Each counter is accepted at most once, and the first time if it is not older than the window."""
+    taken, highest = set(), -1
     for count in counts:
         try:
-            replays.check(LIFE, count)
+            replay_filter.check(BOOT_ID, count)
         except WireTrouble:
-            assert count in taken or top - count >= replays.window
+            assert count in taken or highest - count >= replay_filter.window
         else:
-            assert count not in taken and top - count < replays.window
+            assert count not in taken and highest - count < replay_filter.window
             taken.add(count)
-            top = max(top, count)
+            highest = max(highest, count)
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(st.integers(0, 60), max_size=80))
-def test_each_datagram_counts_once(counts):
-    taken_once(wire.Replays(window=16), counts)
+def test_each_datagram_is_accepted_once(counts):
+    check_accepted_once(wire.ReplayFilter(window=16), counts)
 
 
-@pytest.mark.parametrize("planted", [ForgetsTheWindow, ForgetsTheAge])
-def test_the_check_of_repeats_finds_what_is_planted(planted):
+@pytest.mark.parametrize("defective", [IgnoresTheBitmap, IgnoresTheAge])
+def test_the_replay_check_detects_defects(defective):
     with pytest.raises(AssertionError):
-        taken_once(planted(window=16), [5, 5, 40, 3, 41])
+        check_accepted_once(defective(window=16), [5, 5, 40, 3, 41])
 
 
-def test_few_senders_are_remembered():
-    replays = wire.Replays(most=3)
+def test_the_number_of_remembered_senders_is_limited():
+    replay_filter = wire.ReplayFilter(max_senders=3)
     for sender in b"abcd":
-        replays.check(bytes([sender]) * 8, 1)
-    assert len(replays._seen) == 3
+        replay_filter.check(bytes([sender]) * 8, 1)
+    assert len(replay_filter._seen) == 3
 
 
-def test_least_told_first_then_the_newest_and_each_some_times():
-    rumours, seen = Rumours(10.0), []
+def test_gossip_sends_the_least_sent_then_the_newest_up_to_the_limit():
+    rumours, seen = GossipQueue(10.0), []
     for name in "abc":
         rumours.add(0.0, name, Raw(wire.encode(name)))
     rumours.add(0.0, "a", Raw(wire.encode("A")))
@@ -204,13 +206,13 @@
 # ---- streams ----------------------------------------------------------------------------------------------
 
 
-def machine(name: str, port: int, keys: Keys | None = None) -> Peers:
+def peer_node(name: str, port: int, keys: Keys | None = None) -> Peers:
     me = Self(name, 10 + port, name.encode() * 8, ("10.0.0.1", port), Place("s"))
     return Peers(me, keys or Keys("f", [OLD]), Pace(), random.Random(port), 0.0)
 
 
-def converse(caller: Exchange, called: Exchange) -> list[tuple[bool, bytes]]:
-    """All frames; True where the called one gets them."""
+def run_exchange(caller: Exchange, called: Exchange) -> list[tuple[bool, bytes]]:
+    """Every frame; True if it went to the callee."""
     frames, at = [(True, caller.greet())], 0
     while at < len(frames):
         to, data = frames[at]
@@ -219,52 +221,54 @@
     return frames
 
 
-def test_a_whole_exchange_brings_both_to_the_same():
-    a, b = machine("a", 1), machine("b", 2)
+def test_an_exchange_synchronizes_both_sides():
+    a, b = peer_node("a", 1), peer_node("b", 2)
     for number in range(700):
         side = a if number % 2 else b
-        side.table.merge(0.0, news(f"n{number}", life=number.to_bytes(8, "big")))
-        side.board.hear(0.0, wire.Told(f"n{number}", 5, "load", number, b"v" * 300))
+        side.table.merge(0.0, update(f"n{number}", boot_id=number.to_bytes(8, "big")))
+        side.board.merge(0.0, wire.EntryUpdate(f"n{number}", 5, "load", number, b"v" * 300))
     a.put(0.0, "load", b"a's")
-    mine, theirs = a.calling(b.table.me.life, b"1" * 16), b.called(b"2" * 16)
-    frames = converse(mine, theirs)
+    mine, theirs = a.calling(b.table.me.boot_id, b"1" * 16), b.called(b"2" * 16)
+    frames = run_exchange(mine, theirs)
     assert mine.over and theirs.over and max(len(data) for _, data in frames) < 65536 and len(frames) > 6
     for side in (a, b):
         assert len(side.table) == 702 and len(list(side.board.entries("load"))) == 701
-    again = converse(a.calling(b.table.me.life, b"3" * 16), b.called(b"4" * 16))
+    again = run_exchange(a.calling(b.table.me.boot_id, b"3" * 16), b.called(b"4" * 16))
     assert sum(len(data) for _, data in again) < sum(len(data) for _, data in frames) / 2
 
 
-def test_a_recorded_stream_says_nothing_a_second_time():
-    a, b = machine("a", 1), machine("b", 2)
-    frames = [data for to, data in converse(a.calling(b.table.me.life, b"1" * 16), b.called(b"2" * 16)) if to]
+def test_a_recorded_stream_is_rejected():
+    a, b = peer_node("a", 1), peer_node("b", 2)
+    frames = [
+        data for to, data in run_exchange(a.calling(b.table.me.boot_id, b"1" * 16), b.called(b"2" * 16)) if to
+    ]
     again = b.called(b"3" * 16)
     list(again.take(2.0, frames[0]))
     with pytest.raises(WireTrouble) as why:
         list(again.take(2.0, frames[1]))
     assert why.value.reason == "stream tag"
-    restarted = machine("b", 2)
-    restarted.table.restate(0.0, life=b"z" * 8)
+    restarted = peer_node("b", 2)
+    restarted.table.update_self(0.0, boot_id=b"z" * 8)
     with pytest.raises(WireTrouble) as why:
         list(restarted.called(b"4" * 16).take(2.0, frames[0]))
     assert why.value.reason == "stream addressee"
 
 
 @pytest.mark.parametrize("keys, reason", [(Keys("f", [NEW]), "stream key"), (Keys("g", [OLD]), "stream tag")])
-def test_a_foreign_stream(keys, reason):
-    a, b = machine("a", 1, keys), machine("b", 2)
+def test_a_stream_with_a_foreign_key_is_rejected(keys, reason):
+    a, b = peer_node("a", 1, keys), peer_node("b", 2)
     with pytest.raises(WireTrouble) as why:
-        converse(a.calling(b.table.me.life, b"1" * 16), b.called(b"2" * 16))
+        run_exchange(a.calling(b.table.me.boot_id, b"1" * 16), b.called(b"2" * 16))
     assert why.value.reason == reason and len(b.table) == 1
 
 
-def test_frames_out_of_their_order():
-    seal, other = Seal(Keys("f", [OLD]), True), Seal(Keys("f", [OLD]), False)
-    first, second = (seal.close(wire.Ping(n)) for n in (1, 2))
+def test_frames_out_of_order_are_rejected():
+    auth, other = StreamAuth(Keys("f", [OLD]), True), StreamAuth(Keys("f", [OLD]), False)
+    first, second = (auth.seal(wire.Ping(n)) for n in (1, 2))
     with pytest.raises(WireTrouble):
-        other.open(second)
+        other.unseal(second)
     with pytest.raises(WireTrouble) as why:
-        other.open(first)  # its tag is right, but a Ping is no frame
+        other.unseal(first)  # the tag is valid, but a Ping is not a frame
     assert why.value.reason == "stream form"
 
 
@@ -283,7 +287,7 @@
         ("ä" * 64, 0o600, "not hex"),
     ],
 )
-def test_key_files_that_cannot_be_used(tmp_path, text, mode, why):
+def test_invalid_key_files_are_rejected(tmp_path, text, mode, why):
     path = tmp_path / "keys"
     path.write_text(text)
     path.chmod(mode)
@@ -300,7 +304,7 @@
         read_keys(str(tmp_path / "none"), "f")
 
 
-def test_what_is_kept_outlives_the_process_and_is_one_processs(tmp_path):
+def test_stored_records_survive_a_restart(tmp_path):
     store = Durable(tmp_path / "s")
     store.put("p", "k", b"1")
     store.put("p", "k", b"2")
@@ -316,22 +320,24 @@
     store.close()
 
 
-@pytest.mark.parametrize("at, what", [(0, b"no database at all, but long enough"), (4096, b"\xff" * 4096)])
-def test_a_damaged_file_is_refused_whole(tmp_path, at, what):
+@pytest.mark.parametrize(
+    "offset, content", [(0, b"no database at all, but long enough"), (4096, b"\xff" * 4096)]
+)
+def test_a_damaged_database_is_rejected(tmp_path, offset, content):
     store = Durable(tmp_path)
     for number in range(200):
         store.put("p", str(number), b"x" * 200)
     store.close()
     with open(tmp_path / FILE, "r+b") as file:
-        file.seek(at)
-        file.write(what)
+        file.seek(offset)
+        file.write(content)
     with pytest.raises(StateTrouble, match=FILE):
         Durable(tmp_path)
     (tmp_path / FILE).unlink()
-    Durable(tmp_path).close()  # nothing of the refused one is still open
+    Durable(tmp_path).close()  # the rejected database is closed
 
 
-def test_a_damaged_record_is_found_though_the_file_is_whole(tmp_path):
+def test_a_damaged_record_in_a_valid_database_is_detected(tmp_path):
     store = Durable(tmp_path)
     store.put("p", "k", b"promise 7")
     store.close()
@@ -359,7 +365,7 @@
         ("overload = 1", "overload"),
     ],
 )
-def test_each_fault_of_a_configuration_by_its_field(more, fault):
+def test_configuration_faults_name_the_field(more, fault):
     with pytest.raises(FleetConfigTrouble) as why:
         config.read_text(GOOD + more)
     assert str(why.value).startswith(fault)
