--- a/aspenrill/fleet/feed.py
+++ b/aspenrill/fleet/feed.py
@@ -69,11 +69,11 @@
             self._demand(now)
             self._list()
             for engine in sorted(out - self._out):
-                self.bridge.ejected(now, engine)
+                self.bridge.on_ejected(now, engine)
             for engine, back in self._probed:
-                self.bridge.probed(now, engine, back)
+                self.bridge.on_probed(now, engine, back)
             for engine in sorted(self._out - out):
-                self.bridge.probed(now, engine, True)
+                self.bridge.on_probed(now, engine, True)
         self._probed.clear()
         self._out = out
         if self.parts.groups is not None:
@@ -94,11 +94,11 @@
             for _ in range(count):
                 self.bridge.asked(now, cls, tenant, work[cls], worth[cls])
         for (cls, tenant), count in self._refused.items():
-            self.bridge.refused(now, cls, tenant, count * work[cls])
+            self.bridge.on_refused(now, cls, tenant, count * work[cls])
         self._asked.clear()
         self._refused.clear()
         waiting = {query.ask.cls for query in gateway.held.values()}
-        self.bridge.state(
+        self.bridge.set_load(
             sum(learned.threads for learned in gateway.classes),
             gateway.ordinary,
             gateway.rung,
--- a/aspenrill/fleet/overload/__init__.py
+++ b/aspenrill/fleet/overload/__init__.py
@@ -1,6 +1,6 @@
-"""Overload handled by the fleet as one: parts of a whole under leases, one cut line of worth, bounded
+"""Fleet-wide overload control: leased capacity shares, one shedding threshold, one retry budget, shared
 probes.
 
-Free of I/O: `part.OverloadPart` is an `interface.Part`, `bridge.Bridge` stands between it and the decision
-module. docs/design/together-overload.md has the options weighed and the proofs.
+No I/O: `part.OverloadPart` implements `interface.Part`; `bridge.Bridge` connects it to the decision module.
+docs/design/together-overload.md compares the alternatives and has the proofs.
 """
--- a/aspenrill/fleet/overload/bridge.py
+++ b/aspenrill/fleet/overload/bridge.py
@@ -1,78 +1,83 @@
-"""Between the owner, which has the decision module, and the fleet's part: plain calls in, facts out.
+"""Connects the owner, which runs the decision module, to the overload component: calls in, facts out.
 
-Both live in one thread. Calls take microseconds and keep nothing that is not bounded. Without a fleet
-there is no bridge, and the module goes by its own settings as before.
+Both run in one thread. Calls take microseconds and hold bounded state. Without a fleet there is no bridge,
+and the decision module uses its own settings.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from .facts import Facts, slots
+from .facts import Facts, whole_threads
 from .part import OverloadPart
-from .rules import mark
+from .rules import name_hash
 
 
 class Bridge:
-    """`now` is CLOCK_BOOTTIME throughout. Work in core-seconds."""
+    """`now` is CLOCK_BOOTTIME throughout; work is in core-seconds."""
 
     def __init__(self, part: OverloadPart) -> None:
         self.part = part
-        self.phase = 0.0  # of this process's turn at a fraction of a thread; see `started`
+        self.phase = 0.0  # when this process uses its fraction of a thread; set by `started`
 
     def started(self) -> None:
-        """Once the part has started and its name is known."""
-        self.phase = mark(self.part.view.name) / 2**64
+        """Call once the component has started, when its name is known."""
+        self.phase = name_hash(self.part.view.name) / 2**64
 
-    # ---- what the module knows ------------------------------------------------------------------------
+    # ---- reported by the owner ------------------------------------------------------------------------
 
     def asked(self, now: float, cls: int, tenant: int, work: float, worth: float) -> None:
-        """A request came: what it is expected to take, and what it is worth in all."""
-        self.part.meter.ask(now, cls, tenant, work, worth)
+        """Count an arriving request: its expected work and its total worth."""
+        self.part.meter.on_request(now, cls, tenant, work, worth)
 
-    def refused(self, now: float, cls: int, tenant: int, work: float) -> None:
-        """A request was refused, here or for want of room at engines."""
-        self.part.meter.refuse(now, cls, tenant, work)
+    def on_refused(self, now: float, cls: int, tenant: int, work: float) -> None:
+        """Count a refused request."""
+        self.part.meter.on_refused(now, cls, tenant, work)
 
-    def state(self, threads: float, slowdown: float, rung: int, waiting: float) -> None:
-        """Own threads out, own slowdown, rung of the entry gap, worth per work of the best that waits."""
+    def set_load(self, threads: float, slowdown: float, entry_gap_level: int, waiting: float) -> None:
+        """Set the threads in use, the slowdown, the entry gap level, and the highest worth per work in the
+        queue."""
         meter = self.part.meter
-        meter.threads, meter.slowdown, meter.rung, meter.waiting = threads, slowdown, rung, waiting
+        meter.threads = threads
+        meter.slowdown = slowdown
+        meter.entry_gap_level = entry_gap_level
+        meter.waiting = waiting
 
     def engines(self, warm: Iterable[tuple[str, float]], cold: Iterable[str]) -> None:
-        """The list has changed, or an engine is no longer cold. `warm`: name and the threads that it
-        takes."""
+        """Set the engine list, after a change or when an engine is no longer cold. `warm`: name and
+        threads."""
         warm, cold = sorted(warm), sorted(cold)
-        version = mark(repr((warm, cold))) >> 1
+        version = name_hash(repr((warm, cold))) >> 1
         names = [name for name, _ in warm] + cold
         self.part.engines(version, sum(threads for _, threads in warm), names, cold)
 
-    def ejected(self, now: float, engine: str) -> None:
-        """The module has put an engine out."""
+    def on_ejected(self, now: float, engine: str) -> None:
+        """The decision module has ejected an engine."""
         self.part.probes.eject(now, engine)
 
-    def probed(self, now: float, engine: str, back: bool) -> None:
-        """A probe at an engine that was out has ended."""
-        self.part.probes.answered(now, engine, back)
+    def on_probed(self, now: float, engine: str, recovered: bool) -> None:
+        """A probe of an ejected engine has ended."""
+        self.part.probes.answered(now, engine, recovered)
 
-    # ---- what the module may do -----------------------------------------------------------------------
+    # ---- read by the owner -----------------------------------------------------------------------
 
     def facts(self) -> Facts:
-        """As of the last tick; read its part with the time of use."""
+        """The facts as of the last tick. Its capacity share must be read at the time of use."""
         return self.part.facts
 
     def threads(self, now: float) -> float:
-        """Threads that this process may have out at warm engines now."""
+        """The threads that this process may use at warm engines now."""
         return self.part.threads(now)
 
     def slots(self, now: float) -> int:
-        """The same as whole threads, of which a fraction is one more for a share of the time."""
-        return slots(self.part.threads(now), now, self.phase)
+        """`threads` as an integer: the fraction is one more thread for that fraction of the time."""
+        return whole_threads(self.part.threads(now), now, self.phase)
 
     def may_retry(self, now: float) -> bool:
-        """Whether a try beyond the first may be made; spent if so."""
+        """Take a retry from the budget; False if none is left."""
         return self.part.may_retry(now)
 
-    def asks_itself(self) -> bool:
-        """Nobody else is known: the module asks after engines that are out as it would without a fleet."""
+    def probes_locally(self) -> bool:
+        """Whether no other process is known, so that this one probes ejected engines as it would without a
+        fleet."""
         return self.part.probes.alone
--- a/aspenrill/fleet/overload/capacity.py
+++ b/aspenrill/fleet/overload/capacity.py
@@ -1,4 +1,4 @@
-"""How much there is of each capacity, where processes do not agree yet: the smaller counts until they do."""
+"""Total capacity of the warm engines. While processes report different engine lists, the smallest counts."""
 
 from __future__ import annotations
 
@@ -13,46 +13,47 @@
 Size = Annotated[float, Meta(ge=0.0, le=1e9)]
 
 
-class Whole(Struct, array_like=True, frozen=True):
-    """A process's list of engines, as a hash, and the threads that warm ones take together."""
+class CapacityReport(Struct, array_like=True, frozen=True):
+    """A process's engine list as a hash, and the total threads of its warm engines."""
 
     version: Annotated[int, Meta(ge=0, le=2**63 - 1)]
     threads: Size
 
 
-_decoder = msgspec.msgpack.Decoder(Whole)
+_decoder = msgspec.msgpack.Decoder(CapacityReport)
 
 
 class Capacity:
-    """Threads at warm engines. A rise counts once all that are there have told the same list, a fall at
+    """Threads at warm engines. A rise takes effect once all live processes report the same list, a fall at
     once."""
 
     def __init__(self) -> None:
-        self.own = Whole(0, 0.0)
-        self.told: dict[str, Whole] = {}
-        self._agreed = 0.0  # the last that all had told
+        self.own = CapacityReport(0, 0.0)
+        self.reports: dict[str, CapacityReport] = {}
+        self._last_agreed = 0.0  # the last value that all live processes reported
 
     def hear(self, origin: str, value: bytes) -> None:
-        """A process's entry; what is malformed changes nothing."""
+        """Process an entry of another process. A malformed one is ignored."""
         if not value:
-            self.told.pop(origin, None)
+            self.reports.pop(origin, None)
             return
         try:
-            whole = _decoder.decode(value)
+            report = _decoder.decode(value)
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
             return
-        if origin in self.told or len(self.told) < MOST_PEERS:
-            self.told[origin] = whole
+        if origin in self.reports or len(self.reports) < MOST_PEERS:
+            self.reports[origin] = report
 
     def threads(self, live: Iterable[str]) -> float:
-        """What counts now; `live`: the others that are there."""
-        told = [self.told.get(name) for name in live]
-        known = [whole.threads for whole in told if whole is not None]
-        if all(whole is not None and whole.version == self.own.version for whole in told):
-            self._agreed = min([self.own.threads, *known])
-            return self._agreed
-        return min([self.own.threads, *known, *([self._agreed] if self._agreed else [])])
-
-
-def pack(whole: Whole) -> bytes:
-    return msgspec.msgpack.encode(whole)
+        """The threads in effect now; `live`: the other live processes."""
+        reports = [self.reports.get(name) for name in live]
+        reported = [report.threads for report in reports if report is not None]
+        if all(report is not None and report.version == self.own.version for report in reports):
+            self._last_agreed = min([self.own.threads, *reported])
+            return self._last_agreed
+        return min([self.own.threads, *reported, *([self._last_agreed] if self._last_agreed else [])])
+
+
+def pack(report: CapacityReport) -> bytes:
+    """Encode the entry."""
+    return msgspec.msgpack.encode(report)
--- a/aspenrill/fleet/overload/ledger.py
+++ b/aspenrill/fleet/overload/ledger.py
@@ -1,9 +1,9 @@
-"""Promise 1: shares of the whole, of which all processes that exist never have more than one together.
+"""Guarantee 1: the capacity shares of all processes that exist never sum to more than one.
 
-A process has its floor (`alone`/N) whatever happens; above it, under a majority's lease, the rest of 1/N
-less what it has lent; loans from others until they end; and, of who is silent by a majority's word, a
-piece of what lies above the floor. Each use re-reads the clock by `share(now, kind)`. The proof is in
-docs/design/together-overload.md.
+A process always has its floor share (`alone`/N). Above it, it has the rest of 1/N less what it has lent while
+a majority of voters leases it; loans from others until they end; and a part of the leased share of each
+process that a majority certifies as silent. Each use reads the clock through `share(now, kind)`. The proof is
+in docs/design/together-overload.md.
 """
 
 from __future__ import annotations
@@ -11,141 +11,153 @@
 import math
 from collections.abc import Callable, Iterable
 
-from .leases import Standing, Voter
-from .loans import MOST_LOANS, Borrower, Lender
-from .rules import Rules, mark
-from .wire import Ack, Ask, Beat, Bye, Grant, Message
+from .leases import LeaseHolder, Voter
+from .loans import MAX_LOANS, Borrower, Lender
+from .rules import Rules, name_hash
+from .wire import Ack, Goodbye, Heartbeat, LoanGrant, LoanRequest, Message
 
-Out = list[tuple[str, Message]]  # to whom, what
+Out = list[tuple[str, Message]]  # (receiver, message)
 
 
 class Ledger:
-    """One process's books. `sole`: no former process of this name can exist any more (the driver holds the
-    lock of the name's state folder). Until then it has no floor, which may be the former one's, and does
-    not vote."""
+    """The capacity shares of one process. `sole`: no earlier process of this name can exist any more (the
+    driver holds the lock of the name's state folder). Until then this one has no floor share, which may still
+    be in use by the earlier one, and does not vote."""
 
     def __init__(self, rules: Rules, name: str, incarnation: int, now: float, sole: bool = True) -> None:
         rules.check()
         self.rules, self.name, self.incarnation, self.sole = rules, name, incarnation, sole
-        self.standing, self.lender, self.borrower = Standing(rules), Lender(rules), Borrower(rules)
+        self.lease_holder, self.lender, self.borrower = LeaseHolder(rules), Lender(rules), Borrower(rules)
         self.voter = Voter(rules, now) if sole and name in rules.voters else None
-        self.over = False  # fenced by its successor, or has left: it may start nothing, for ever
-        self.absent: Iterable[str] = ()  # names that are held to be gone, and may be asked after
-        self.spare: Callable[[int], float] = lambda kind: 0.0  # would lend beyond what it lends
-        self._asks: dict[tuple[str, int], Ask] = {}
-        self._next_beat = now
+        self.ended = False  # fenced by its successor, or has left: it may start nothing any more
+        self.absent: Iterable[str] = ()  # names that may be silent, to query the voters about
+        self.lendable: Callable[[int], float] = lambda kind: 0.0  # further share that it is willing to lend
+        self._loan_requests: dict[tuple[str, int], LoanRequest] = {}
+        self._next_heartbeat_at = now
 
-    # ---- what it may use ------------------------------------------------------------------------------
+    # ---- capacity in use ------------------------------------------------------------------------------
 
     def share(self, now: float, kind: int) -> float:
-        """The share of the whole within which this process may start work at this moment."""
+        """The share of the total capacity that this process may use at this moment."""
         return sum(amount for end, amount in self.pieces(now, kind) if end > now)
 
     def pieces(self, now: float, kind: int) -> list[tuple[float, float]]:
-        """(end, share): what it has now, and until when each piece lasts by itself."""
-        if self.over:
+        """The parts of the share as (end, amount)."""
+        if self.ended:
             return []
         pieces = self.borrower.pieces(now, kind)
         if self.sole:
             pieces.append((math.inf, self.rules.floor))
-        held = self.standing.until()
-        if held > now:
-            pieces.append((held, max(0.0, self.rules.upper - self.lender.lent(now, kind))))
-            pieces += [(min(end, held), self.rules.piece) for end in self.standing.silent(now)]
+        lease_end = self.lease_holder.lease_end()
+        if lease_end > now:
+            pieces.append((lease_end, max(0.0, self.rules.leased_share - self.lender.lent(now, kind))))
+            pieces += [
+                (min(end, lease_end), self.rules.silent_share) for end in self.lease_holder.silent_until(now)
+            ]
         return pieces
 
     def joined(self, now: float) -> bool:
-        """A majority acknowledges it."""
-        return not self.over and self.standing.until() > now
+        """Whether a majority of voters leases this process."""
+        return not self.ended and self.lease_holder.lease_end() > now
 
-    def own(self) -> float:
-        """Its equal share."""
+    def equal_share(self) -> float:
+        """The equal share, 1/N."""
         return 1.0 / self.rules.count
 
-    def _free(self, now: float, kind: int) -> float:
-        """What of its own it may lend and is willing to; negative where it wants some back."""
+    def _available(self, now: float, kind: int) -> float:
+        """What it can and is willing to lend; negative if it wants some back."""
         if not self.joined(now):
             return -1.0
-        return min(self.rules.upper - self.lender.lent(now, kind), self.spare(kind))
+        return min(self.rules.leased_share - self.lender.lent(now, kind), self.lendable(kind))
 
-    # ---- what happens ---------------------------------------------------------------------------------
+    # ---- events ---------------------------------------------------------------------------------
 
     def tick(self, now: float) -> Out:
-        """Beats when due; answers what was asked of it since the last call, the most worth first."""
-        if self.over:
+        """Send heartbeats when due and answer the loan requests since the last call, the highest worth
+        first."""
+        if self.ended:
             return []
         out: Out = []
-        if now >= self._next_beat:
-            self._next_beat = now + self.rules.beat
-            beat = self.standing.beat(now, self._doubted())
-            out += [(voter, beat) for voter in self.rules.voters if voter != self.name]
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + self.rules.beat
+            heartbeat = self.lease_holder.next_heartbeat(now, self._names_to_query())
+            out += [(voter, heartbeat) for voter in self.rules.voters if voter != self.name]
             if self.voter is not None:
-                self._on_ack(self.name, self.voter.beat(now, mark(self.name), self.incarnation, beat))
-        asks, self._asks = self._asks, {}
-        for (name, incarnation), ask in sorted(asks.items(), key=lambda item: (-item[1].worth, item[0])):
-            grant = self.lender.ask(now, name, incarnation, ask, lambda kind: self._free(now, kind))
+                self._on_ack(
+                    self.name, self.voter.on_heartbeat(now, name_hash(self.name), self.incarnation, heartbeat)
+                )
+        requests, self._loan_requests = self._loan_requests, {}
+        for (name, incarnation), request in sorted(
+            requests.items(), key=lambda item: (-item[1].worth, item[0])
+        ):
+            grant = self.lender.on_request(
+                now, name, incarnation, request, lambda kind: self._available(now, kind)
+            )
             if grant is not None:
                 out.append((name, grant))
         self.borrower.sweep(now)
         self.lender.sweep(now)
         return out
 
-    def message(self, now: float, sender: str, incarnation: int, message: Message) -> Out:
-        """What another process has sent; whatever it is, nothing raises."""
-        if self.over or sender == self.name:
+    def on_message(self, now: float, sender: str, incarnation: int, message: Message) -> Out:
+        """Process a message of another process. Never raises."""
+        if self.ended or sender == self.name:
             return []
         match message:
-            case Beat() if self.voter is not None:
-                ack = self.voter.beat(now, mark(sender), incarnation, message)
+            case Heartbeat() if self.voter is not None:
+                ack = self.voter.on_heartbeat(now, name_hash(sender), incarnation, message)
                 return [(sender, ack)] if ack is not None else []
-            case Bye() if self.voter is not None:
-                self.voter.bye(now, mark(sender), incarnation, message.left)
+            case Goodbye() if self.voter is not None:
+                self.voter.on_goodbye(now, name_hash(sender), incarnation, message.left)
             case Ack() if message.incarnation == self.incarnation:
                 self._on_ack(sender, message)
-            case Ask() if len(self._asks) < MOST_LOANS or (sender, incarnation) in self._asks:
-                waiting = self._asks.get((sender, incarnation))
-                if waiting is None or waiting.number < message.number:
-                    self._asks[sender, incarnation] = message
-            case Grant() if message.incarnation == self.incarnation:
-                self.borrower.grant(sender, message)
+            case LoanRequest() if (
+                len(self._loan_requests) < MAX_LOANS or (sender, incarnation) in self._loan_requests
+            ):
+                pending = self._loan_requests.get((sender, incarnation))
+                if pending is None or pending.number < message.number:
+                    self._loan_requests[sender, incarnation] = message
+            case LoanGrant() if message.incarnation == self.incarnation:
+                self.borrower.on_grant(sender, message)
         return []
 
-    def ask(self, now: float, lender: str, amounts: tuple[float, ...], worth: float) -> Out:
-        """Borrow so much in all from that process, or hand back what is above it."""
-        if self.over or lender == self.name:
+    def request_loan(self, now: float, lender: str, amounts: tuple[float, ...], worth: float) -> Out:
+        """Request a loan of these total amounts, or return what exceeds them."""
+        if self.ended or lender == self.name:
             return []
-        ask = self.borrower.ask(now, lender, amounts, worth)
-        return [(lender, ask)] if ask is not None else []
+        request = self.borrower.request(now, lender, amounts, worth)
+        return [(lender, request)] if request is not None else []
 
     def fence(self) -> None:
-        """A later process has this name."""
-        self.over, self.voter = True, None
+        """Stop, as a later process has this name."""
+        self.ended, self.voter = True, None
 
-    def claim(self, now: float) -> None:
-        """The former process of this name is known to have ended: its floor and its vote are ours."""
-        if not self.sole and not self.over:
+    def become_sole(self, now: float) -> None:
+        """Take over the floor share and the vote after the earlier process of this name has ended."""
+        if not self.sole and not self.ended:
             self.sole = True
             self.voter = Voter(self.rules, now) if self.name in self.rules.voters else None
 
     def leave(self, now: float) -> Out:
-        """Ends in good order: from here on it may start nothing; lenders and voters are told at once."""
-        if self.over:
+        """Leave: use nothing any more, return the loans and notify the voters."""
+        if self.ended:
             return []
         out: Out = []
-        for lender in list(self.borrower.held):
-            out += self.ask(now, lender, (), 0.0)
-        left = max(0.0, self.lender.ends() - now) * (self.rules.owed / self.rules.loan)
-        out += [(voter, Bye(left)) for voter in self.rules.voters if voter != self.name]
-        self.over, self.voter = True, None
+        for lender in list(self.borrower.loans):
+            out += self.request_loan(now, lender, (), 0.0)
+        left = max(0.0, self.lender.last_end() - now) * (self.rules.loan_timeout / self.rules.loan)
+        out += [(voter, Goodbye(left)) for voter in self.rules.voters if voter != self.name]
+        self.ended, self.voter = True, None
         return out
 
     def configure(self, now: float, rules: Rules) -> None:
-        """Other rules, by SIGHUP. Falls to its floor until a majority goes by the same."""
+        """Apply other rules after SIGHUP. The share falls to the floor until a majority has the same
+        rules."""
         rules.check()
         if rules == self.rules:
             return
         self.rules = self.lender.rules = self.borrower.rules = rules
-        self.standing.configure(rules)
+        self.lease_holder.configure(rules)
         if self.name not in rules.voters:
             self.voter = None
         elif self.voter is not None:
@@ -153,7 +165,7 @@
         elif self.sole:
             self.voter = Voter(rules, now)
 
-    # ---- inside ---------------------------------------------------------------------------------------
+    # ---- internal ---------------------------------------------------------------------------------------
 
     def _on_ack(self, voter: str, ack: Ack | None) -> None:
         if ack is None:
@@ -161,8 +173,8 @@
         if ack.fenced and voter in self.rules.voters:
             self.fence()
         else:
-            self.standing.ack(voter, ack)
+            self.lease_holder.on_ack(voter, ack)
 
-    def _doubted(self) -> list[str]:
-        """Whom to ask the voters after."""
+    def _names_to_query(self) -> list[str]:
+        """The names to query the voters about."""
         return [name for name in self.absent if name != self.name][: self.rules.count - 1]
--- a/aspenrill/fleet/overload/loans.py
+++ b/aspenrill/fleet/overload/loans.py
@@ -1,9 +1,10 @@
-"""Loans between two processes: what the lender gave up first, for a time that its holder ends first.
+"""Capacity loans between two processes: the lender lowers its share first, and the borrower stops using it
+first.
 
-One loan at a time runs between a lender and a borrower; each request names the whole of what is wanted. A
-borrower heeds only the grant to its latest request, and tells with the next one which grant it goes by. So
-the lender owes the larger of two grants at most, and a message lost, late, twice or out of order changes
-nothing else.
+There is one loan at a time between a lender and a borrower; each request names the total amounts wanted. A
+borrower uses only the grant to its latest request, and names the grant in use in the next request. So the
+lender owes at most the larger of two grants, and lost, late, repeated or reordered messages change nothing
+else.
 """
 
 from __future__ import annotations
@@ -12,19 +13,19 @@
 from collections.abc import Callable
 
 from .rules import KINDS, Rules
-from .wire import Ask, Grant
+from .wire import LoanGrant, LoanRequest
 
-MOST_LOANS = 64  # that a lender has out, and lenders that a borrower asks
-NOTHING = (0.0,) * len(KINDS)
+MAX_LOANS = 64  # borrowers of a lender, and lenders of a borrower
+NO_AMOUNTS = (0.0,) * len(KINDS)
 
 
-def whole(amounts: tuple[float, ...]) -> tuple[float, ...]:
-    """One amount for each kind; kinds that the other side does not know are nothing."""
-    return (amounts + NOTHING)[: len(KINDS)]
+def normalized(amounts: tuple[float, ...]) -> tuple[float, ...]:
+    """One amount for each kind; kinds that the other side does not know are 0."""
+    return (amounts + NO_AMOUNTS)[: len(KINDS)]
 
 
-class Owed:
-    """What a lender owes one incarnation of a borrower: grants by number, each with its amounts and end."""
+class LoanAccount:
+    """The grants of a lender to one incarnation of a borrower, by number: amounts and end."""
 
     __slots__ = ("number", "grants")
 
@@ -34,109 +35,123 @@
 
 
 class Lender:
-    """The loans that a process has out."""
+    """The loans that a process has granted."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
-        self.owed: dict[tuple[str, int], Owed] = {}
+        self.accounts: dict[tuple[str, int], LoanAccount] = {}
 
     def lent(self, now: float, kind: int) -> float:
-        """Share of the whole that is lent out, or may still be."""
+        """Share of the total capacity that is lent, or may still be in use by a borrower."""
         return sum(
-            max((a[kind] for a, end in owed.grants.values() if end > now), default=0.0)
-            for owed in self.owed.values()
+            max((a[kind] for a, end in account.grants.values() if end > now), default=0.0)
+            for account in self.accounts.values()
         )
 
-    def promised(self, now: float, kind: int) -> float:
-        """Share of the whole that stays lent out by the latest grants, once all have heard of them."""
-        latest = (owed.grants.get(owed.number) for owed in self.owed.values())
+    def committed(self, now: float, kind: int) -> float:
+        """Share of the total capacity that the latest grants lend, once all borrowers have received them."""
+        latest = (account.grants.get(account.number) for account in self.accounts.values())
         return sum(grant[0][kind] for grant in latest if grant is not None and grant[1] > now)
 
-    def ends(self) -> float:
-        """When the last loan is over."""
-        return max((end for owed in self.owed.values() for _, end in owed.grants.values()), default=-math.inf)
+    def last_end(self) -> float:
+        """When the last loan ends."""
+        return max(
+            (end for account in self.accounts.values() for _, end in account.grants.values()),
+            default=-math.inf,
+        )
 
-    def ask(
-        self, now: float, name: str, incarnation: int, ask: Ask, free: Callable[[int], float]
-    ) -> Grant | None:
-        """Lower by what `free` gives for a kind, then grant; where it is negative, less is granted than
-        before, but the former grant counts until its holder has told that it goes by this one. None: a
-        request that is old or was seen before."""
+    def on_request(
+        self, now: float, name: str, incarnation: int, request: LoanRequest, available: Callable[[int], float]
+    ) -> LoanGrant | None:
+        """Grant up to what `available` returns for each kind. Where it is negative, less is granted than
+        before, but the former grant counts until the borrower has named the new one. None: an old or repeated
+        request."""
         self.sweep(now)
-        owed = self.owed.get((name, incarnation))
-        if owed is None:
-            if len(self.owed) >= MOST_LOANS:
+        account = self.accounts.get((name, incarnation))
+        if account is None:
+            if len(self.accounts) >= MAX_LOANS:
                 return None
-            owed = self.owed[name, incarnation] = Owed()
-        if ask.number <= owed.number:
+            account = self.accounts[name, incarnation] = LoanAccount()
+        if request.number <= account.number:
             return None
-        wanted = whole(ask.amounts)
-        owed.number = ask.number
-        held = owed.grants.get(ask.have)
-        owed.grants = {}
-        kept = NOTHING
-        if held is not None and held[1] > now:  # it goes by this one until it has our answer, and by no other
-            kept = tuple(map(min, held[0], wanted))
-            owed.grants[ask.have] = (kept, held[1])
-        given = tuple(max(0.0, min(wanted[i], kept[i] + free(i))) for i in range(len(KINDS)))
-        if any(given):
-            owed.grants[ask.number] = (given, now + self.rules.owed)
-        return Grant(incarnation, ask.number, given)
+        wanted = normalized(request.amounts)
+        account.number = request.number
+        current = account.grants.get(request.current_grant)
+        account.grants = {}
+        retained = NO_AMOUNTS
+        if current is not None and current[1] > now:  # in use by the borrower until it has our answer
+            retained = tuple(map(min, current[0], wanted))
+            account.grants[request.current_grant] = (retained, current[1])
+        granted = tuple(max(0.0, min(wanted[i], retained[i] + available(i))) for i in range(len(KINDS)))
+        if any(granted):
+            account.grants[request.number] = (granted, now + self.rules.loan_timeout)
+        return LoanGrant(incarnation, request.number, granted)
 
     def sweep(self, now: float) -> None:
-        """Forget what is over. A request from before that comes late is granted anew: its sender has
-        stopped."""
-        for key in [k for k, owed in self.owed.items() if all(end <= now for _, end in owed.grants.values())]:
-            del self.owed[key]
+        """Remove loans that have ended. A late request from before is granted anew: its sender no longer uses
+        the old grant."""
+        for key in [
+            k for k, account in self.accounts.items() if all(end <= now for _, end in account.grants.values())
+        ]:
+            del self.accounts[key]
 
 
-class Held:
-    """What a borrower has from one lender."""
+class BorrowedLoan:
+    """A loan as its borrower sees it."""
 
-    __slots__ = ("number", "sent_at", "answered", "wanted", "have", "amounts", "end")
+    __slots__ = ("number", "sent_at", "answered", "wanted", "current_grant", "amounts", "end")
 
     def __init__(self) -> None:
         self.number, self.sent_at, self.answered = 0, -math.inf, True  # the latest request
-        self.wanted = NOTHING
-        self.have, self.amounts, self.end = 0, NOTHING, -math.inf  # the grant that it goes by
+        self.wanted = NO_AMOUNTS
+        self.current_grant, self.amounts, self.end = 0, NO_AMOUNTS, -math.inf  # the grant in use
 
 
 class Borrower:
-    """The loans that a process has from others. They are never lent on."""
+    """The loans that a process has received. They are never lent on."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
         self.number = 0
-        self.held: dict[str, Held] = {}
+        self.loans: dict[str, BorrowedLoan] = {}
 
     def pieces(self, now: float, kind: int) -> list[tuple[float, float]]:
-        """(end, share of the whole) of each loan in force."""
-        return [(h.end, h.amounts[kind]) for h in self.held.values() if h.end > now and h.amounts[kind]]
-
-    def ask(self, now: float, lender: str, amounts: tuple[float, ...], worth: float) -> Ask | None:
-        """A request for so much in all; what is above it is used no more from now on."""
-        held = self.held.get(lender)
-        if held is None:
-            if len(self.held) >= MOST_LOANS:
+        """(end, share of the total capacity) of each loan in force."""
+        return [
+            (loan.end, loan.amounts[kind])
+            for loan in self.loans.values()
+            if loan.end > now and loan.amounts[kind]
+        ]
+
+    def request(
+        self, now: float, lender: str, amounts: tuple[float, ...], worth: float
+    ) -> LoanRequest | None:
+        """Build a request for these total amounts; what exceeds them is no longer used from now on."""
+        loan = self.loans.get(lender)
+        if loan is None:
+            if len(self.loans) >= MAX_LOANS:
                 return None
-            held = self.held[lender] = Held()
+            loan = self.loans[lender] = BorrowedLoan()
         self.number += 1
-        held.number, held.sent_at, held.answered = self.number, now, False
-        held.wanted = whole(amounts)
-        held.amounts = tuple(map(min, held.amounts, held.wanted))
-        return Ask(held.number, held.have, held.wanted, worth)
-
-    def grant(self, lender: str, grant: Grant) -> None:
-        """It counts from when the request was sent; only the latest request's counts at all."""
-        held = self.held.get(lender)
-        if held is None or held.answered or grant.number != held.number:
+        loan.number, loan.sent_at, loan.answered = self.number, now, False
+        loan.wanted = normalized(amounts)
+        loan.amounts = tuple(map(min, loan.amounts, loan.wanted))
+        return LoanRequest(loan.number, loan.current_grant, loan.wanted, worth)
+
+    def on_grant(self, lender: str, grant: LoanGrant) -> None:
+        """Process a grant. It counts from when the request was sent, and only if that was the latest
+        request."""
+        loan = self.loans.get(lender)
+        if loan is None or loan.answered or grant.number != loan.number:
             return
-        held.answered = True
-        held.have = grant.number
-        held.amounts = tuple(map(min, whole(grant.amounts), held.wanted))
-        held.end = held.sent_at + self.rules.loan
+        loan.answered = True
+        loan.current_grant = grant.number
+        loan.amounts = tuple(map(min, normalized(grant.amounts), loan.wanted))
+        loan.end = loan.sent_at + self.rules.loan
 
     def sweep(self, now: float) -> None:
-        """Forget loans that are over and no longer asked for."""
-        for name in [n for n, h in self.held.items() if h.end <= now and h.sent_at + self.rules.loan <= now]:
-            del self.held[name]
+        """Remove loans that have ended and are not requested again."""
+        for name in [
+            n for n, loan in self.loans.items() if loan.end <= now and loan.sent_at + self.rules.loan <= now
+        ]:
+            del self.loans[name]
--- a/aspenrill/fleet/overload/probes.py
+++ b/aspenrill/fleet/overload/probes.py
@@ -1,10 +1,9 @@
-"""Promise 3: who asks after an engine that is out. One of those that know of each other; all hear the
-answer.
+"""Guarantee 3: one process of those that know of each other probes an ejected engine, and all learn the
+result.
 
-Rendezvous hashing (Thaler and Ravishankar, 1998) puts the live processes in an order for each engine; the
-k-th in it asks once k + 1 intervals have passed without news. So a death moves the duty after one
-interval, each side of a partition has its own asker, and probes are bounded whatever the number of
-processes.
+Rendezvous hashing (Thaler and Ravishankar, 1998) orders the live processes for each engine; the k-th probes
+once k + 1 intervals have passed without a result. So the next process takes over one interval after a death,
+each side of a partition has its own prober, and the number of probes does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -16,69 +15,72 @@
 import xxhash
 from msgspec import Meta, Struct
 
-from .rules import mark
+from .rules import name_hash
 
-FIRST, MOST = 1.0, 8.0  # seconds between probes at one engine: doubled with each that fails
-MOST_TOLD = 20  # engines and answers in an entry
-MOST_OUT = 2000  # engines kept
-MOST_HEARD = 8192  # last answers kept, by origin and engine
+MIN_INTERVAL = 1.0  # seconds between probes of one engine, doubled with each failure
+MAX_INTERVAL = 8.0  # seconds
+MAX_IN_ENTRY = 20  # engines, and answers, in an entry
+MAX_OUT = 2000  # ejected engines tracked
+MAX_SEEN = 8192  # latest answers remembered, by origin and engine
 
-Mark = Annotated[int, Meta(ge=0)]
+NameHash = Annotated[int, Meta(ge=0)]
 
 
-class Answer(Struct, array_like=True, frozen=True):
-    """An answer: the engine as its mark, the origin's number of it, and whether the engine is back."""
+class ProbeAnswer(Struct, array_like=True, frozen=True):
+    """A probe result: the hash of the engine's name, the origin's number, and whether the engine
+    recovered."""
 
-    engine: Mark
+    engine: NameHash
     number: Annotated[int, Meta(ge=0, le=2**63 - 1)]
-    back: bool
+    recovered: bool
 
 
-class Outs(Struct, array_like=True, frozen=True):
-    """Engines that the origin has found out, and the last answers that it has had."""
+class ProbeEntry(Struct, array_like=True, frozen=True):
+    """The entry: engines that the origin has ejected, and its latest probe results."""
 
-    engines: Annotated[tuple[Mark, ...], Meta(max_length=MOST_TOLD)] = ()
-    answers: Annotated[tuple[Answer, ...], Meta(max_length=MOST_TOLD)] = ()
+    engines: Annotated[tuple[NameHash, ...], Meta(max_length=MAX_IN_ENTRY)] = ()
+    answers: Annotated[tuple[ProbeAnswer, ...], Meta(max_length=MAX_IN_ENTRY)] = ()
 
 
-_decoder = msgspec.msgpack.Decoder(Outs)
+_decoder = msgspec.msgpack.Decoder(ProbeEntry)
 
 
-class Out:
-    """An engine that is out, as this process knows it."""
+class EjectedEngine:
+    """An ejected engine."""
 
-    __slots__ = ("news_at", "failed", "own")
+    __slots__ = ("updated_at", "failures", "ejected_here")
 
-    def __init__(self, now: float, own: bool) -> None:
-        self.news_at, self.failed, self.own = now, 0, own
+    def __init__(self, now: float, ejected_here: bool) -> None:
+        self.updated_at, self.failures, self.ejected_here = now, 0, ejected_here
 
     @property
     def interval(self) -> float:
-        return min(MOST, FIRST * 2.0 ** min(self.failed, 8))
+        """Seconds between probes."""
+        return min(MAX_INTERVAL, MIN_INTERVAL * 2.0 ** min(self.failures, 8))
 
 
 class Probes:
-    """One process's share of the asking."""
+    """Decides which ejected engines this process probes, and when."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.out: dict[int, Out] = {}
-        self.names: dict[int, str] = {}  # engines of the list, by mark
-        self.answers: dict[int, Answer] = {}
+        self.ejected: dict[int, EjectedEngine] = {}
+        self.names: dict[int, str] = {}  # engines of the list, by name hash
+        self.answers: dict[int, ProbeAnswer] = {}
         self.number = 0
         self.changed = False
-        self._heard: dict[tuple[str, int], tuple[int, int]] = {}
+        self._seen: dict[tuple[str, int], tuple[int, int]] = {}
         self._live: tuple[str, ...] = (name,)
         self._ranks: dict[int, int] = {}
 
     def engines(self, names: Iterable[str]) -> None:
-        """The engines of the list; what is told of others is passed by."""
-        self.names = {mark(name): name for name in names}
-        for engine in [e for e in self.out if e not in self.names]:
-            del self.out[engine]
+        """Set the engine list; reports on other engines are ignored."""
+        self.names = {name_hash(name): name for name in names}
+        for engine in [e for e in self.ejected if e not in self.names]:
+            del self.ejected[engine]
 
     def live(self, names: Iterable[str]) -> None:
-        """The processes that are there, this one among them."""
+        """Set the live processes."""
         live = tuple(sorted({*names, self.name}))
         if live != self._live:
             self._live = live
@@ -86,85 +88,85 @@
 
     @property
     def alone(self) -> bool:
-        """Nobody else is known: it asks for itself, as it would without a fleet."""
+        """Whether no other process is known."""
         return len(self._live) < 2
 
     def eject(self, now: float, engine: str) -> None:
-        """This process has found an engine out."""
-        key = mark(engine)
-        out = self.out.get(key)
-        if out is None and len(self.out) < MOST_OUT and key in self.names:
-            self.out[key] = Out(now, True)
+        """This process has ejected an engine."""
+        key = name_hash(engine)
+        record = self.ejected.get(key)
+        if record is None and len(self.ejected) < MAX_OUT and key in self.names:
+            self.ejected[key] = EjectedEngine(now, True)
             self.changed = True
-        elif out is not None and not out.own:
-            out.own = True
+        elif record is not None and not record.ejected_here:
+            record.ejected_here = True
 
-    def answered(self, now: float, engine: str, back: bool) -> None:
-        """This process has asked, and this is what came of it; also news that an engine is well again."""
-        key = mark(engine)
+    def answered(self, now: float, engine: str, recovered: bool) -> None:
+        """Record the result of a probe of this process, or that an engine recovered by itself."""
+        key = name_hash(engine)
         self.number += 1
         self.answers.pop(key, None)
-        self.answers[key] = Answer(key, self.number, back)
-        while len(self.answers) > MOST_TOLD:
+        self.answers[key] = ProbeAnswer(key, self.number, recovered)
+        while len(self.answers) > MAX_IN_ENTRY:
             del self.answers[next(iter(self.answers))]
         self.changed = True
-        self._news(now, key, back)
+        self._apply(now, key, recovered)
 
     def hear(self, now: float, origin: str, incarnation: int, value: bytes) -> list[tuple[str, bool]]:
-        """What another has told: (engine, whether it is back) of each answer that is new here."""
+        """Process another process's entry; returns (engine, recovered) of each new result."""
         try:
-            told = _decoder.decode(value) if value else Outs()
+            entry = _decoder.decode(value) if value else ProbeEntry()
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
             return []
-        news = []
-        answered = {answer.engine for answer in told.answers}
-        for engine in told.engines:
+        results = []
+        answered_engines = {answer.engine for answer in entry.answers}
+        for engine in entry.engines:
             if (
                 engine in self.names
-                and engine not in self.out
-                and len(self.out) < MOST_OUT
-                and (engine not in answered)
+                and engine not in self.ejected
+                and len(self.ejected) < MAX_OUT
+                and (engine not in answered_engines)
             ):
-                self.out[engine] = Out(now, False)
-        for answer in told.answers:
+                self.ejected[engine] = EjectedEngine(now, False)
+        for answer in entry.answers:
             key, stamp = (origin, answer.engine), (incarnation, answer.number)
-            if answer.engine in self.names and stamp > self._heard.get(key, (-1, -1)):
-                if key not in self._heard and len(self._heard) >= MOST_HEARD:
-                    del self._heard[next(iter(self._heard))]
-                self._heard[key] = stamp
-                news.append((self.names[answer.engine], answer.back))
-                if not answer.back and answer.engine not in self.out and len(self.out) < MOST_OUT:
-                    self.out[answer.engine] = Out(now, False)
-                self._news(now, answer.engine, answer.back)
-        return news
+            if answer.engine in self.names and stamp > self._seen.get(key, (-1, -1)):
+                if key not in self._seen and len(self._seen) >= MAX_SEEN:
+                    del self._seen[next(iter(self._seen))]
+                self._seen[key] = stamp
+                results.append((self.names[answer.engine], answer.recovered))
+                if not answer.recovered and answer.engine not in self.ejected and len(self.ejected) < MAX_OUT:
+                    self.ejected[answer.engine] = EjectedEngine(now, False)
+                self._apply(now, answer.engine, answer.recovered)
+        return results
 
     def due(self, now: float) -> list[str]:
-        """Engines after which this process is to ask now; each counts as asked from here on."""
+        """The engines that this process must probe now; each counts as probed."""
         found = []
-        for key, out in self.out.items():
-            if now >= out.news_at + out.interval * (1 + self.rank(key)):
-                out.news_at = now
+        for key, record in self.ejected.items():
+            if now >= record.updated_at + record.interval * (1 + self.rank(key)):
+                record.updated_at = now
                 found.append(self.names[key])
         return found
 
     def rank(self, engine: int) -> int:
-        """This process's place in the order for an engine: how many are before it."""
+        """This process's rank for an engine: how many processes come before it."""
         if engine not in self._ranks:
             own = self._score(self.name, engine)
             self._ranks[engine] = sum(self._score(name, engine) > own for name in self._live)
         return self._ranks[engine]
 
     def entry(self) -> bytes:
-        """What to tell: engines newly found out, and the last answers."""
-        own = [key for key, out in self.out.items() if out.own and key not in self.answers]
-        return msgspec.msgpack.encode(Outs(tuple(own[-MOST_TOLD:]), tuple(self.answers.values())))
-
-    def _news(self, now: float, engine: int, back: bool) -> None:
-        if back:
-            self.out.pop(engine, None)
-        elif engine in self.out:
-            out = self.out[engine]
-            out.news_at, out.failed = now, out.failed + 1
+        """Encode the entry to publish: newly ejected engines and the latest results."""
+        own = [key for key, record in self.ejected.items() if record.ejected_here and key not in self.answers]
+        return msgspec.msgpack.encode(ProbeEntry(tuple(own[-MAX_IN_ENTRY:]), tuple(self.answers.values())))
+
+    def _apply(self, now: float, engine: int, recovered: bool) -> None:
+        if recovered:
+            self.ejected.pop(engine, None)
+        elif engine in self.ejected:
+            record = self.ejected[engine]
+            record.updated_at, record.failures = now, record.failures + 1
 
     @staticmethod
     def _score(name: str, engine: int) -> tuple[int, str]:
--- a/aspenrill/fleet/overload/rules.py
+++ b/aspenrill/fleet/overload/rules.py
@@ -1,4 +1,4 @@
-"""What must be the same in all processes for parts never to sum to more than the whole."""
+"""Rules that must be the same in all processes, so that capacity shares never sum to more than one."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 from ...errors import FleetConfigTrouble
 from ..interface import DRIFT, MOST_PEERS
 
-KINDS = ("threads", "tries")  # the capacities that are dealt: threads at warm engines, tries beyond the first
+KINDS = ("threads", "tries")  # the capacities that are shared: threads at warm engines, and retries
 
 
-def mark(text: str) -> int:
-    """64 bits that stand for a name in messages: xxh64 of its UTF-8 bytes."""
+def name_hash(text: str) -> int:
+    """The 64-bit hash of a name in messages: xxh64 of its UTF-8 bytes."""
     return xxhash.xxh64_intdigest(text.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Seconds, and shares of one. `count`: front ends configured, N; each owns 1/N of every capacity.
+    """Durations in seconds, and shares of one. `count`: configured front ends, N; each owns 1/N of every
+    capacity.
 
-    `alone`: the share of 1/N that a process keeps without a majority of `voters`. `lease`: for how long a
-    voter's acknowledgement lasts (T1), counted by the holder from when it sent its beat. `loan`: for how
-    long a loan lasts, counted by its holder from when it sent the request. `margin`: what is waited beyond
-    drift.
+    `alone`: the fraction of 1/N that a process keeps without a majority of `voters`. `lease`: how long a
+    voter's acknowledgement lasts (T1), counted by the holder from when it sent its heartbeat. `loan`: how
+    long a loan lasts, counted by its borrower from when it sent the request. `beat`: the heartbeat interval.
+    `margin`: added to timeouts beyond clock drift.
     """
 
     count: int
@@ -50,43 +51,44 @@
             raise FleetConfigTrouble("overload.beat: a third of overload.lease at most")
 
     @property
-    def silence(self) -> float:
-        """T2: from a voter's last acknowledgement of a process until that one's lease, and every loan that it
-        may have granted under it, is surely over."""
+    def silence_timeout(self) -> float:
+        """T2: from a voter's last acknowledgement of a process until its lease, and every loan that it may
+        have granted under it, has ended for certain."""
         return (self.lease + self.loan) * (1 + DRIFT) + self.margin
 
     @property
-    def regret(self) -> float:
-        """From a voter's word that a process is silent until whoever uses it has surely stopped."""
+    def certificate_timeout(self) -> float:
+        """From a voter's certificate of silence until its users have stopped for certain."""
         return self.lease * (1 + DRIFT) + self.margin
 
     @property
-    def owed(self) -> float:
-        """From a grant until its holder has surely stopped, on the lender's clock."""
+    def loan_timeout(self) -> float:
+        """From a grant until its borrower has stopped for certain, on the lender's clock."""
         return self.loan * (1 + DRIFT) + self.margin
 
     @property
     def majority(self) -> int:
+        """Voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def floor(self) -> float:
-        """Share of the whole that a process keeps whatever happens. It is never lent."""
+        """Share of the total capacity that a process always has. It is never lent."""
         return self.alone / self.count
 
     @property
-    def upper(self) -> float:
-        """Share of the whole that a process has beyond it while a majority acknowledges it."""
+    def leased_share(self) -> float:
+        """Further share that a process has while a majority of voters leases it."""
         return (1 - self.alone) / self.count
 
     @property
-    def piece(self) -> float:
-        """Each other's piece of what a silent process has above its floor."""
-        return self.upper / max(1, self.count - 1)
+    def silent_share(self) -> float:
+        """The share that each other process gets of a silent process's leased share."""
+        return self.leased_share / max(1, self.count - 1)
 
     @property
-    def config(self) -> int:
-        """Voters acknowledge only who goes by the same rules: of two sets of rules one has a majority at
-        most."""
-        same = self.count, sorted(self.voters), self.alone, self.lease, self.loan, self.margin
-        return mark(repr(same)) >> 1
+    def config_hash(self) -> int:
+        """Hash of the rules. Voters acknowledge only processes with the same rules, so at most one of two
+        sets of rules has a majority."""
+        fields = self.count, sorted(self.voters), self.alone, self.lease, self.loan, self.margin
+        return name_hash(repr(fields)) >> 1
--- a/aspenrill/fleet/overload/shares.py
+++ b/aspenrill/fleet/overload/shares.py
@@ -1,10 +1,9 @@
-"""How a capacity is dealt over the fleet's demand: the most worth for its work first, one cut line for
-all.
+"""Allocates a capacity to the fleet's demand: the highest worth per work first, with one threshold for all.
 
-Demand comes in bands of worth per unit of work. Bands above the line are served whole; of the band at the
-line all processes get the same amount, or what they ask where that is less (max-min, by water filling:
-Bertsekas and Gallager, Data Networks, 6.5.2). What nobody asks for is dealt out equally, so that parts are
-there before demand is.
+Demand is grouped into bands of worth per unit of work. Bands above the threshold are served in full; of the
+band at the threshold all processes get the same amount, or their demand if it is less (max-min fairness by
+water filling: Bertsekas and Gallager, Data Networks, 6.5.2). Unrequested capacity is split equally, so that
+it is available before demand arrives.
 """
 
 from __future__ import annotations
@@ -13,100 +12,102 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-BAND = math.log(1.05)  # densities within a band of 5% count as equal: each process learns its own
+BAND_WIDTH = math.log(1.05)  # densities within 5% count as equal, as each process estimates its own
 
 
 def water_fill(
     capacity: float, demands: Sequence[float], weights: Sequence[float] | None = None
 ) -> list[float]:
-    """Weighted max-min: each gets its demand, or `level` times its weight where that is less; all of
-    `capacity` is dealt, as far as demand goes."""
+    """Weighted max-min fairness: each gets its demand, or a common level times its weight if that is less.
+    The capacity is used up as far as there is demand."""
     weights = weights or [1.0] * len(demands)
-    given = [0.0] * len(demands)
+    allocated = [0.0] * len(demands)
     order = sorted(
         (i for i in range(len(demands)) if weights[i] > 0 and demands[i] > 0),
         key=lambda i: demands[i] / weights[i],
     )
-    left, weight = capacity, sum(weights[i] for i in order)
+    remaining, weight = capacity, sum(weights[i] for i in order)
     for i in order:
-        given[i] = min(demands[i], max(0.0, left) * weights[i] / weight)
-        left, weight = left - given[i], max(1e-12, weight - weights[i])
-    return given
+        allocated[i] = min(demands[i], max(0.0, remaining) * weights[i] / weight)
+        remaining, weight = remaining - allocated[i], max(1e-12, weight - weights[i])
+    return allocated
 
 
 def band(density: float) -> int:
     """The band of a worth per work."""
-    return round(math.log(max(1e-9, density)) / BAND)
+    return round(math.log(max(1e-9, density)) / BAND_WIDTH)
 
 
-def worth_of(level: float) -> float:
+def band_worth(level: float) -> float:
     """The worth per work in the middle of a band."""
-    return math.exp(level * BAND)
+    return math.exp(level * BAND_WIDTH)
 
 
 @dataclass(frozen=True, slots=True)
-class Deal:
-    """`level`: the band at the line; None where all demand fits. `admitted`: share of that band's demand
-    that is served. `targets`: by process, its share of the capacity; they sum to 1 at most."""
+class Allocation:
+    """`level`: the band at the threshold; None if all demand fits. `admitted`: served share of that band's
+    demand. `targets`: each process's share of the capacity; they sum to at most 1."""
 
     level: int | None
     admitted: float
     targets: dict[str, float]
 
 
-def deal(capacity: float, demand: Mapping[str, Iterable[tuple[float, float]]]) -> Deal:
-    """`demand`: by process, (worth per work, work a second) of each class."""
+def allocate(capacity: float, demand: Mapping[str, Iterable[tuple[float, float]]]) -> Allocation:
+    """Allocate `capacity` to `demand`: by process, (worth per work, work a second) of each class."""
     if capacity <= 0 or not demand:
-        return Deal(None, 1.0, dict.fromkeys(demand, 0.0))
+        return Allocation(None, 1.0, dict.fromkeys(demand, 0.0))
     names = sorted(demand)
     bands: dict[int, dict[str, float]] = {}
     for name in names:
         for density, work in demand[name]:
             if work > 0 and density > 0:
-                asked = bands.setdefault(band(density), {})
-                asked[name] = asked.get(name, 0.0) + work
-    given, left = dict.fromkeys(names, 0.0), capacity
+                requested = bands.setdefault(band(density), {})
+                requested[name] = requested.get(name, 0.0) + work
+    allocated, remaining = dict.fromkeys(names, 0.0), capacity
     level, admitted = None, 1.0
-    for at in sorted(bands, reverse=True):
-        asked = bands[at]
-        total = sum(asked.values())
-        if total > left:
-            order = sorted(asked)
-            for name, amount in zip(order, water_fill(left, [asked[n] for n in order]), strict=True):
-                given[name] += amount
-            level, admitted, left = at, left / total, 0.0
+    for number in sorted(bands, reverse=True):
+        requested = bands[number]
+        total = sum(requested.values())
+        if total > remaining:
+            order = sorted(requested)
+            for name, amount in zip(order, water_fill(remaining, [requested[n] for n in order]), strict=True):
+                allocated[name] += amount
+            level, admitted, remaining = number, remaining / total, 0.0
             break
-        for name, work in asked.items():
-            given[name] += work
-        left -= total
-    spare = left / len(names)
-    return Deal(level, admitted, {name: (given[name] + spare) / capacity for name in names})
+        for name, work in requested.items():
+            allocated[name] += work
+        remaining -= total
+    surplus = remaining / len(names)
+    return Allocation(level, admitted, {name: (allocated[name] + surplus) / capacity for name in names})
 
 
-class Line:
-    """The cut line in use: follows what is dealt with a delay, so that it does not swing with single news."""
+class SheddingThreshold:
+    """The shedding threshold in use: the allocated one, smoothed so that single reports do not make it
+    swing."""
 
-    FOLLOW = 1.0  # seconds
+    TIME_CONSTANT = 1.0  # seconds
 
     def __init__(self) -> None:
         self.level: float | None = None
         self.admitted = 1.0
         self._at = 0.0
 
-    def follow(self, now: float, dealt: Deal, lowest: int) -> None:
-        """`lowest`: the least band that is asked; with room for all the line goes below it, then away."""
-        weight = 1 - math.exp(-max(0.0, now - self._at) / self.FOLLOW)
+    def update(self, now: float, allocation: Allocation, lowest: int) -> None:
+        """Move towards an allocation. `lowest`: the lowest band with demand; if all fits, the threshold falls
+        below it and is then removed."""
+        weight = 1 - math.exp(-max(0.0, now - self._at) / self.TIME_CONSTANT)
         self._at = now
-        goal = dealt.level if dealt.level is not None else lowest - 1
+        target = allocation.level if allocation.level is not None else lowest - 1
         if self.level is None:
-            self.level = None if dealt.level is None else lowest - 1.0
+            self.level = None if allocation.level is None else lowest - 1.0
         if self.level is not None:
-            self.level += weight * (goal - self.level)
-            if dealt.level is None and self.level < lowest - 0.5:
+            self.level += weight * (target - self.level)
+            if allocation.level is None and self.level < lowest - 0.5:
                 self.level = None
-        self.admitted += weight * (dealt.admitted - self.admitted)
+        self.admitted += weight * (allocation.admitted - self.admitted)
 
     @property
     def worth(self) -> float:
-        """Worth per work under which work is shed; 0: none is."""
-        return 0.0 if self.level is None else worth_of(self.level - 0.5)
+        """Worth per work below which requests are shed; 0: none are."""
+        return 0.0 if self.level is None else band_worth(self.level - 0.5)
--- a/aspenrill/fleet/overload/steering.py
+++ b/aspenrill/fleet/overload/steering.py
@@ -1,101 +1,102 @@
-"""Where a process wants its part to be, and by whom it gets there: damped, with hysteresis, by loans.
+"""Steers a process's capacity share to its target through loans, with damping and hysteresis.
 
-Demand is what is asked, not what is served, so a part that moves does not move its own target. What is
-left to swing are noise and late news: a part moves by at most `PACE` of itself in a second, and not at all
-for little.
+Demand is what is requested, not what is served, so a change of the share does not change its own target. To
+damp noise and late reports, a share changes by at most `MAX_RATE` of itself in a second, and not for small
+differences.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from .demand import Told
+from .demand import DemandReport
 from .ledger import Ledger, Out
-from .rules import KINDS, mark
+from .rules import KINDS, name_hash
 
-PACE = 0.25  # share of itself by which a part moves in a second
-STILL, MOVING = 0.10, 0.02  # of the equal share: off target by more than that it sets out, by less it rests
-LEAST = 0.02  # of the equal share: smaller loans are not worth a message
-MOST_LENDERS = 32
+MAX_RATE = 0.25  # relative change of a share in a second
+START_THRESHOLD = 0.10  # of the equal share: difference to the target above which a move starts
+STOP_THRESHOLD = 0.02  # of the equal share: difference below which a move ends
+MIN_LOAN = 0.02  # of the equal share: smaller loans are not worth a message
+MAX_LENDERS = 32
 
 
 class Steering:
-    """One process's wishes: `want` by kind, as shares of the whole."""
+    """The desired shares of one process: `desired` by kind, as shares of the total capacity."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
-        self.want = [ledger.own()] * len(KINDS)
-        self._goal = [ledger.own()] * len(KINDS)
+        self.desired = [ledger.equal_share()] * len(KINDS)
+        self._goal = [ledger.equal_share()] * len(KINDS)
         self._moving = [False] * len(KINDS)
         self._at: float | None = None
         self._now = 0.0
-        ledger.spare = lambda kind: self.spare(self._now, kind)
+        ledger.lendable = lambda kind: self.lendable(self._now, kind)
 
-    def aim(self, now: float, targets: tuple[float, ...]) -> None:
-        """Move towards the targets."""
+    def set_targets(self, now: float, targets: tuple[float, ...]) -> None:
+        """Move the desired shares towards the targets."""
         self._now = now
-        passed = min(1.0, max(0.0, now - self._at)) if self._at is not None else 0.0
+        elapsed = min(1.0, max(0.0, now - self._at)) if self._at is not None else 0.0
         self._at = now
-        own = self.ledger.own()
+        own = self.ledger.equal_share()
         for kind, target in enumerate(targets):
-            off = abs(target - self.want[kind])
-            if off > STILL * own or self._moving[kind]:
+            difference = abs(target - self.desired[kind])
+            if difference > START_THRESHOLD * own or self._moving[kind]:
                 self._goal[kind] = target
-                self._moving[kind] = off > MOVING * own
-            step = PACE * passed * max(self.want[kind], self.ledger.rules.floor, 1e-9)
-            self.want[kind] += max(-step, min(step, self._goal[kind] - self.want[kind]))
+                self._moving[kind] = difference > STOP_THRESHOLD * own
+            step = MAX_RATE * elapsed * max(self.desired[kind], self.ledger.rules.floor, 1e-9)
+            self.desired[kind] += max(-step, min(step, self._goal[kind] - self.desired[kind]))
 
-    def spare(self, now: float, kind: int) -> float:
-        """What it would lend beyond what it lends; negative where it wants some back."""
-        keep = max(self.want[kind], self.ledger.rules.floor)
-        return self.ledger.own() - keep - self.ledger.lender.promised(now, kind)
+    def lendable(self, now: float, kind: int) -> float:
+        """The further share that it is willing to lend; negative if it wants some back."""
+        keep = max(self.desired[kind], self.ledger.rules.floor)
+        return self.ledger.equal_share() - keep - self.ledger.lender.committed(now, kind)
 
     def offers(self, now: float) -> tuple[float, ...]:
-        """What it tells others that it would lend, by kind."""
+        """The shares to offer to others in the report, by kind."""
         if not self.ledger.joined(now):
             return (0.0,) * len(KINDS)
-        return tuple(round(min(1.0, max(0.0, self.spare(now, kind))), 9) for kind in range(len(KINDS)))
+        return tuple(round(min(1.0, max(0.0, self.lendable(now, kind))), 9) for kind in range(len(KINDS)))
 
-    def borrow(self, now: float, told: Mapping[str, Told], worth: float) -> Out:
-        """Ask, renew and hand back: requests that are due now."""
+    def borrow(self, now: float, reports: Mapping[str, DemandReport], worth: float) -> Out:
+        """The loan requests that are due: new ones, renewals and returns."""
         ledger, rules = self.ledger, self.ledger.rules
-        held = ledger.borrower.held
+        loans = ledger.borrower.loans
         need = [self._need(now, kind) for kind in range(len(KINDS))]
-        least = LEAST * ledger.own()
+        minimum = MIN_LOAN * ledger.equal_share()
         out: Out = []
-        known = sorted(held, key=lambda n: (-sum(held[n].amounts) * (held[n].end > now), n))
+        current_lenders = sorted(loans, key=lambda n: (-sum(loans[n].amounts) * (loans[n].end > now), n))
         offers = {
-            name: t.spare
-            for name, t in told.items()
-            if name != ledger.name and name not in held and max(t.spare, default=0.0) > least
+            name: report.lendable
+            for name, report in reports.items()
+            if name != ledger.name and name not in loans and max(report.lendable, default=0.0) > minimum
         }
-        fresh = sorted(offers, key=lambda n: mark(f"{ledger.name}/{n}"))
-        for name in known + fresh[: max(0, MOST_LENDERS - len(known))]:
-            loan = held.get(name)
-            have = loan.amounts if loan is not None and loan.end > now else (0.0,) * len(KINDS)
-            spare = told[name].spare if name in told else ()
-            want = []
+        new_lenders = sorted(offers, key=lambda n: name_hash(f"{ledger.name}/{n}"))
+        for name in current_lenders + new_lenders[: max(0, MAX_LENDERS - len(current_lenders))]:
+            loan = loans.get(name)
+            held_amounts = loan.amounts if loan is not None and loan.end > now else (0.0,) * len(KINDS)
+            lendable = reports[name].lendable if name in reports else ()
+            wanted = []
             for kind in range(len(KINDS)):
-                more = spare[kind] if kind < len(spare) else 0.0
-                amount = max(0.0, min(have[kind] + more, need[kind]))
-                want.append(amount if amount > least else 0.0)
-                need[kind] -= want[kind]
-            if loan is None and not any(want):
+                more = lendable[kind] if kind < len(lendable) else 0.0
+                amount = max(0.0, min(held_amounts[kind] + more, need[kind]))
+                wanted.append(amount if amount > minimum else 0.0)
+                need[kind] -= wanted[kind]
+            if loan is None and not any(wanted):
                 continue
             if loan is not None:
                 waited = now - loan.sent_at
                 if waited < rules.loan / (3 if loan.answered else 2):
                     continue
-                if not any(want) and not any(loan.amounts):
-                    continue  # nothing held and nothing wanted: it is forgotten by itself
-            out += ledger.ask(now, name, tuple(want), worth)
+                if not any(wanted) and not any(loan.amounts):
+                    continue  # nothing borrowed and nothing wanted: it expires by itself
+            out += ledger.request_loan(now, name, tuple(wanted), worth)
         return out
 
     def _need(self, now: float, kind: int) -> float:
-        """What it wants from others: beyond its own part and what it has of the silent."""
+        """The share to borrow: beyond its own and what it has of silent processes."""
         ledger = self.ledger
         borrowed = sum(amount for _, amount in ledger.borrower.pieces(now, kind))
         own = ledger.share(now, kind) - borrowed
         if not ledger.joined(now):
-            own = max(own, ledger.own())  # without a majority nobody is asked for what is its own
-        return max(0.0, self.want[kind] - own - ledger.lender.lent(now, kind))
+            own = max(own, ledger.equal_share())  # without a lease its own share is not borrowed
+        return max(0.0, self.desired[kind] - own - ledger.lender.lent(now, kind))
--- a/aspenrill/fleet/overload/wire.py
+++ b/aspenrill/fleet/overload/wire.py
@@ -1,4 +1,4 @@
-"""Messages of this part, checked: what does not decode, or is out of range, is None and changes nothing."""
+"""Messages of the overload component, validated while decoding: a malformed one is ignored."""
 
 from __future__ import annotations
 
@@ -7,68 +7,71 @@
 import msgspec
 from msgspec import Meta, Struct
 
-MOST_ASKED = 80  # silent names in one beat: 8 bytes each, so that a body stays under MOST_BODY
+MAX_QUERIED = 80  # names queried in one heartbeat: 8 bytes each, so that a body stays under the limit
 
 Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
-Amount = Annotated[float, Meta(ge=0.0, le=1.0)]  # share of the whole of one capacity
+Amount = Annotated[float, Meta(ge=0.0, le=1.0)]  # share of the total of one capacity
 Amounts = Annotated[tuple[Amount, ...], Meta(max_length=8)]  # by kind
 Worth = Annotated[float, Meta(ge=0.0, le=1e12)]
 Seconds = Annotated[float, Meta(ge=0.0, le=1e6)]
 
 
-class Beat(Struct, tag=1, array_like=True, frozen=True):
-    """A process to a voter: I am there. `asks`: names, as marks of 8 bytes, of whom I ask whether they are
-    silent."""
+class Heartbeat(Struct, tag=1, array_like=True, frozen=True):
+    """A process to a voter: a request to renew its lease. `queried`: 8-byte hashes of the names for which it
+    requests a certificate of silence."""
 
     number: Count
-    config: Count
-    asks: Annotated[bytes, Meta(max_length=8 * MOST_ASKED)] = b""
+    config_hash: Count
+    queried: Annotated[bytes, Meta(max_length=8 * MAX_QUERIED)] = b""
 
 
 class Ack(Struct, tag=2, array_like=True, frozen=True):
-    """A voter's answer to beat `number` of that incarnation; `silent` has a bit for each name asked after."""
+    """A voter's answer to heartbeat `number` of that incarnation; `silent` has a bit for each queried
+    name."""
 
     incarnation: Count
     number: Count
     granted: bool
     fenced: bool = False
-    silent: Annotated[bytes, Meta(max_length=MOST_ASKED // 8)] = b""
+    silent: Annotated[bytes, Meta(max_length=MAX_QUERIED // 8)] = b""
 
 
-class Bye(Struct, tag=3, array_like=True, frozen=True):
-    """A process that ends: it uses nothing any more; its loans to others are over in so many seconds."""
+class Goodbye(Struct, tag=3, array_like=True, frozen=True):
+    """A process that leaves: it uses nothing any more; its loans to others end in `left` seconds."""
 
     left: Seconds
 
 
-class Ask(Struct, tag=4, array_like=True, frozen=True):
-    """A borrower to a lender: the shares that I want from you in all; I hold at most that now, by your grant
-    `have`, and heed no other grant than the one to this request. Nothing wanted: the loan comes back."""
+class LoanRequest(Struct, tag=4, array_like=True, frozen=True):
+    """A borrower to a lender: the total shares wanted. The borrower now uses at most that, by grant
+    `current_grant`, and will accept no grant but the answer to this request. Amounts of 0 return the loan."""
 
     number: Count
-    have: Count
+    current_grant: Count
     amounts: Amounts
     worth: Worth = 0.0
 
 
-class Grant(Struct, tag=5, array_like=True, frozen=True):
-    """A lender's answer to request `number` of that incarnation: what it lends in all, from now on."""
+class LoanGrant(Struct, tag=5, array_like=True, frozen=True):
+    """A lender's answer to request `number` of that incarnation: the total shares lent from now on."""
 
     incarnation: Count
     number: Count
     amounts: Amounts
 
 
-Message = Beat | Ack | Bye | Ask | Grant
+Message = Heartbeat | Ack | Goodbye | LoanRequest | LoanGrant
 _decoder = msgspec.msgpack.Decoder(Message)
 _encoder = msgspec.msgpack.Encoder()
 
 
 def pack(message: Message) -> bytes:
+    """Encode a message."""
     return _encoder.encode(message)
 
 
 def unpack(body: bytes) -> Message | None:
+    """Decode a message; None if it is malformed."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError, RecursionError):
--- a/tests/overload_defects.py
+++ b/tests/overload_defects.py
@@ -1,54 +1,54 @@
-"""Planted defects of the ledger: each checker must find them."""
+"""Ledgers with one planted defect each, which the checks must detect."""
 
 from __future__ import annotations
 
 import math
 from functools import partial
 
-from aspenrill.fleet.overload.leases import Standing, Voter
+from aspenrill.fleet.overload.leases import LeaseHolder, Voter
 from aspenrill.fleet.overload.ledger import Ledger
-from aspenrill.fleet.overload.loans import Borrower, Held, Lender, whole
+from aspenrill.fleet.overload.loans import BorrowedLoan, Borrower, Lender, normalized
 from aspenrill.fleet.overload.rules import Rules
-from aspenrill.fleet.overload.wire import Ack, Grant
+from aspenrill.fleet.overload.wire import Ack, LoanGrant
 
 
-class GrantsFirst(Lender):
-    """Lowers its own part a little after it has granted."""
+class LowersAfterGranting(Lender):
+    """Lowers its own share shortly after granting, not before."""
 
     def lent(self, now, kind):
-        last = now + self.rules.owed - 0.6
+        last = now + self.rules.loan_timeout - 0.6
         return sum(
-            max((a[kind] for a, end in owed.grants.values() if now < end <= last), default=0.0)
-            for owed in self.owed.values()
+            max((a[kind] for a, end in account.grants.values() if now < end <= last), default=0.0)
+            for account in self.accounts.values()
         )
 
 
-class Forgetful(Lender):
-    """Forgets what it owes when the borrower asks anew."""
+class ForgetsFormerGrants(Lender):
+    """Forgets the earlier grants of a borrower when it requests again."""
 
-    def ask(self, now, name, incarnation, ask, free):
-        if (name, incarnation) in self.owed:
-            self.owed[name, incarnation].grants = {}
-        return super().ask(now, name, incarnation, ask, free)
+    def on_request(self, now, name, incarnation, request, available):
+        if (name, incarnation) in self.accounts:
+            self.accounts[name, incarnation].grants = {}
+        return super().on_request(now, name, incarnation, request, available)
 
 
-class Doubling(Borrower):
-    """Adds what comes twice."""
+class AddsRepeatedGrants(Borrower):
+    """Adds a repeated grant to the loan."""
 
-    def grant(self, lender, grant):
-        held = self.held.setdefault(lender, Held())
-        held.have, held.end = grant.number, held.sent_at + self.rules.loan
-        held.amounts = tuple(a + b for a, b in zip(held.amounts, whole(grant.amounts), strict=True))
+    def on_grant(self, lender, grant):
+        loan = self.loans.setdefault(lender, BorrowedLoan())
+        loan.current_grant, loan.end = grant.number, loan.sent_at + self.rules.loan
+        loan.amounts = tuple(a + b for a, b in zip(loan.amounts, normalized(grant.amounts), strict=True))
 
 
-class NeverFalls(Standing):
-    """Keeps its part once it has had a majority."""
+class LeaseNeverEnds(LeaseHolder):
+    """Keeps its leased share for ever after one majority."""
 
-    def until(self):
-        return math.inf if super().until() > -math.inf else -math.inf
+    def lease_end(self):
+        return math.inf if super().lease_end() > -math.inf else -math.inf
 
 
-class NotMute(Voter):
+class VotesAfterStart(Voter):
     """Votes at once after a start."""
 
     def __init__(self, rules, now):
@@ -56,27 +56,27 @@
         self.mute_until = -math.inf
 
 
-class Hasty(Rules):
+class ShortSilenceTimeout(Rules):
     """T2 is shorter than T1."""
 
-    silence = property(lambda self: 1.0)
+    silence_timeout = property(lambda self: 1.0)
 
 
-class NoRegret(Rules):
-    """A voter acknowledges at once whom it has called silent."""
+class NoCertificateTimeout(Rules):
+    """A voter acknowledges a process at once after certifying it as silent."""
 
-    regret = property(lambda self: 0.0)
+    certificate_timeout = property(lambda self: 0.0)
 
 
 class NoDrift(Rules):
-    """Nothing is waited for drift."""
+    """Timeouts have no margin for clock drift."""
 
-    owed = property(lambda self: self.loan)
-    silence = property(lambda self: self.lease + self.loan)
+    loan_timeout = property(lambda self: self.loan)
+    silence_timeout = property(lambda self: self.lease + self.loan)
 
 
-def made(parts, rules, name, incarnation, now, sole):
-    """A ledger with some parts replaced."""
+def build_ledger(parts, rules, name, incarnation, now, sole):
+    """Build a ledger with some classes replaced."""
     if "rules" in parts:
         rules = parts["rules"](
             rules.count,
@@ -87,7 +87,7 @@
             beat=rules.beat,
         )
     ledger = parts.get("ledger", Ledger)(rules, name, incarnation, now, sole)
-    for key in ("lender", "borrower", "standing"):
+    for key in ("lender", "borrower", "lease_holder"):
         if key in parts:
             setattr(ledger, key, parts[key](rules))
     if "voter" in parts and ledger.voter is not None:
@@ -95,46 +95,46 @@
     return ledger
 
 
-def with_(**parts):
-    """A maker of such ledgers."""
-    return partial(made, parts)
+def defective(**parts):
+    """A factory of such ledgers."""
+    return partial(build_ledger, parts)
 
 
 class FromReceipt(Ledger):
-    """The holder counts from when the grant came."""
+    """The borrower counts a loan from the receipt of the grant."""
 
-    def message(self, now, sender, incarnation, message):
-        if isinstance(message, Grant) and sender in self.borrower.held:
-            self.borrower.held[sender].sent_at = now
-        return super().message(now, sender, incarnation, message)
+    def on_message(self, now, sender, incarnation, message):
+        if isinstance(message, LoanGrant) and sender in self.borrower.loans:
+            self.borrower.loans[sender].sent_at = now
+        return super().on_message(now, sender, incarnation, message)
 
 
 class AckFromReceipt(Ledger):
-    """The lease counts from when the acknowledgement came."""
+    """The lease counts from the receipt of the acknowledgement."""
 
-    def message(self, now, sender, incarnation, message):
-        if isinstance(message, Ack) and message.number in self.standing.sent:
-            self.standing.sent[message.number] = (now, self.standing.sent[message.number][1])
-        return super().message(now, sender, incarnation, message)
+    def on_message(self, now, sender, incarnation, message):
+        if isinstance(message, Ack) and message.number in self.lease_holder.sent:
+            self.lease_holder.sent[message.number] = (now, self.lease_holder.sent[message.number][1])
+        return super().on_message(now, sender, incarnation, message)
 
 
-class Sole(Ledger):
-    """Believes that no former process of its name exists."""
+class AlwaysSole(Ledger):
+    """Assumes that no earlier process of its name exists."""
 
     def __init__(self, rules, name, incarnation, now, sole):
         super().__init__(rules, name, incarnation, now, True)
 
 
 DEFECTS = {
-    "the lender grants before it lowers": with_(lender=GrantsFirst),
-    "the lender forgets the grant before": with_(lender=Forgetful),
-    "the holder counts from receipt": with_(ledger=FromReceipt),
-    "the lease counts from receipt": with_(ledger=AckFromReceipt),
-    "a repeated grant counts twice": with_(borrower=Doubling),
-    "no fall without a majority": with_(standing=NeverFalls),
-    "no margin for drift": with_(rules=NoDrift),
-    "a voter is not mute after a start": with_(voter=NotMute),
-    "T2 is shorter than T1": with_(rules=Hasty),
-    "who was called silent is acknowledged at once": with_(rules=NoRegret),
-    "two of one name have two floors": with_(ledger=Sole),
+    "the lender grants before it lowers its share": defective(lender=LowersAfterGranting),
+    "the lender forgets earlier grants": defective(lender=ForgetsFormerGrants),
+    "the borrower counts from receipt": defective(ledger=FromReceipt),
+    "the lease counts from receipt": defective(ledger=AckFromReceipt),
+    "a repeated grant counts twice": defective(borrower=AddsRepeatedGrants),
+    "the lease never ends": defective(lease_holder=LeaseNeverEnds),
+    "no margin for drift": defective(rules=NoDrift),
+    "a voter votes after a start": defective(voter=VotesAfterStart),
+    "T2 is shorter than T1": defective(rules=ShortSilenceTimeout),
+    "a silent process is acknowledged at once": defective(rules=NoCertificateTimeout),
+    "two processes of one name have two floor shares": defective(ledger=AlwaysSole),
 }
--- a/tests/overload_world.py
+++ b/tests/overload_world.py
@@ -1,5 +1,5 @@
-"""Ledgers of a few processes on a world of the tests' own: clocks that drift, a network that does its
-worst."""
+"""Simulates the ledgers of a few processes with drifting clocks and a network that loses, repeats, delays and
+reorders messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     def __init__(self, ledger: Ledger, rate: float, offset: float, world: World) -> None:
         self.ledger, self.rate, self.offset, self.world = ledger, rate, offset, world
         self.paused = False
-        self.inbox: list[tuple[str, int, bytes]] = []  # what comes while it is paused
+        self.inbox: list[tuple[str, int, bytes]] = []  # messages received while paused
 
     @property
     def now(self) -> float:
@@ -25,18 +25,18 @@
 
 
 class World:
-    """`make` builds a ledger: tests pass one with a planted defect."""
+    """`make` builds a ledger; tests pass one with a planted defect."""
 
     def __init__(self, count: int, seed: int, make: Callable[..., Ledger] = Ledger, **rules) -> None:
         self.random, self.time = random.Random(seed), 0.0
         self.names = tuple(f"p{i}" for i in range(count))
         self.rules = Rules(count, rules.pop("voters", self.names[: 3 if count < 5 else 5]), **rules)
         self.make = make
-        self.processes: list[Process] = []  # all that exist: fenced and paused ones too
+        self.processes: list[Process] = []  # all that exist, including fenced and paused ones
         self.net: list[tuple[float, str, str, int, bytes]] = []
         self.cut: set[frozenset[str]] = set()
         self.loss = self.repeat = 0.0
-        self.spares = (1.0,)  # what lenders are willing to lend beyond what they lend, by chance
+        self.lendable_choices = (1.0,)  # further shares that lenders offer, chosen at random
         self.delay = (0.0, 0.05)
         self.incarnations = dict.fromkeys(self.names, 0)
         for name in self.names:
@@ -49,14 +49,14 @@
         process = Process(None, rate, offset, self)
         process.ledger = self.make(self.rules, name, self.incarnations[name], process.now, sole)
         process.ledger.absent = [n for n in self.names if n != name]
-        process.ledger.spare = lambda kind: self.random.choice(self.spares)
+        process.ledger.lendable = lambda kind: self.random.choice(self.lendable_choices)
         self.processes.append(process)
 
     def end(self, process: Process) -> None:
         self.processes.remove(process)
-        rest = [p for p in self.processes if p.ledger.name == process.ledger.name]
-        if len(rest) == 1:
-            rest[0].ledger.claim(rest[0].now)
+        others = [p for p in self.processes if p.ledger.name == process.ledger.name]
+        if len(others) == 1:
+            others[0].ledger.become_sole(others[0].now)
 
     def post(self, process: Process, out) -> None:
         for to, message in out:
@@ -94,7 +94,7 @@
         if process.paused:
             process.inbox.append((sender, incarnation, body))
         elif (message := unpack(body)) is not None:
-            self.post(process, process.ledger.message(process.now, sender, incarnation, message))
+            self.post(process, process.ledger.on_message(process.now, sender, incarnation, message))
 
     def resume(self, process: Process) -> None:
         process.paused = False
@@ -104,14 +104,14 @@
             self.check()
 
     def borrow(self, process: Process, lender: str, amounts: tuple[float, ...], worth: float = 1.0) -> None:
-        self.post(process, process.ledger.ask(process.now, lender, amounts, worth))
+        self.post(process, process.ledger.request_loan(process.now, lender, amounts, worth))
 
     def total(self, kind: int = 0) -> float:
         return sum(p.ledger.share(p.now, kind) for p in self.processes)
 
     def check(self) -> None:
-        """Promise 1: all that exist together, paused or fenced or cut off, may start no more than the
-        whole."""
+        """Guarantee 1: the shares of all existing processes, also paused, fenced or cut off, sum to at most
+        one."""
         for kind in range(len(KINDS)):
             assert self.total(kind) <= 1 + EPSILON, (
                 self.time,
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -317,7 +317,7 @@
 
 def test_the_feed_tells_demand_engines_and_loads(front):
     bridge = SimpleNamespace(calls=[])
-    for name in ("asked", "refused", "state", "engines", "ejected", "probed"):
+    for name in ("asked", "on_refused", "set_load", "engines", "on_ejected", "on_probed"):
         setattr(bridge, name, lambda *told, name=name: bridge.calls.append((name, *told)))
     counted = []
     groups = SimpleNamespace(
@@ -330,7 +330,7 @@
     assert counted == [(17, 1, 33, 250)]
     feed.turn(5.0)
     names = [call[0] for call in bridge.calls]
-    assert names == ["asked", "asked", "state", "engines"]
+    assert names == ["asked", "asked", "set_load", "engines"]
     assert bridge.calls[0][:4] == ("asked", 5.0, 0, 0) and bridge.calls[0][5] == 2.0
     assert bridge.calls[2][1] == 1 and bridge.calls[3][1:] == (
         [("x", pytest.approx(13.6)), ("y", pytest.approx(13.6))],
@@ -342,9 +342,9 @@
     front.owner.take(books.Probed(front.owner.peers["x"], api.Outcome.TIMEOUT, 0.1))
     bridge.calls.clear()
     feed.turn(5.5)
-    told = [call for call in bridge.calls if call[0] in ("ejected", "probed")]
-    assert told == [("ejected", 5.5, "x"), ("probed", 5.5, "x", False)] and counted[2].outage
+    told = [call for call in bridge.calls if call[0] in ("on_ejected", "on_probed")]
+    assert told == [("on_ejected", 5.5, "x"), ("on_probed", 5.5, "x", False)] and counted[2].outage
     engine.ejected_until = 0.0
     bridge.calls.clear()
     feed.turn(6.0)
-    assert ("probed", 6.0, "x", True) in bridge.calls and not counted[3].outage
+    assert ("on_probed", 6.0, "x", True) in bridge.calls and not counted[3].outage
--- a/tests/test_overload_ledger.py
+++ b/tests/test_overload_ledger.py
@@ -1,4 +1,5 @@
-"""Promise 1: parts never sum to more than the whole. Schedules by hand, by chance, and all small ones."""
+"""Guarantee 1: capacity shares never sum to more than one, in hand-written, random and all small
+schedules."""
 
 from __future__ import annotations
 
@@ -17,7 +18,7 @@
 from aspenrill.fleet.interface import MOST_BODY
 from aspenrill.fleet.overload.ledger import Ledger
 from aspenrill.fleet.overload.rules import Rules
-from aspenrill.fleet.overload.wire import MOST_ASKED, Beat, pack, unpack
+from aspenrill.fleet.overload.wire import MAX_QUERIED, Heartbeat, pack, unpack
 
 
 def shares(world: World, kind: int = 0) -> list[float]:
@@ -30,14 +31,14 @@
     return world
 
 
-def test_a_start_has_its_floor_then_its_equal_share():
+def test_a_new_process_has_the_floor_then_the_equal_share():
     world = World(3, 1)
     assert shares(world) == pytest.approx([1 / 6] * 3)
     world.run(10)
     assert shares(world) == pytest.approx([1 / 3] * 3)
 
 
-def test_a_loan_moves_a_share_and_comes_back():
+def test_a_loan_moves_share_and_returns():
     world = joined()
     first = world.processes[0]
     world.borrow(first, "p1", (0.1, 0.0))
@@ -45,10 +46,10 @@
     assert shares(world) == pytest.approx([1 / 3 + 0.1, 1 / 3 - 0.1, 1 / 3])
     assert shares(world, 1) == pytest.approx([1 / 3] * 3)
     world.borrow(first, "p1", (0.04, 0.0))
-    assert shares(world)[0] == pytest.approx(1 / 3 + 0.04)  # it lowers first
+    assert shares(world)[0] == pytest.approx(1 / 3 + 0.04)  # the borrower lowers its share first
     world.run(1)
     assert shares(world)[1] == pytest.approx(1 / 3 - 0.04)
-    world.run(5)  # and what is not renewed ends by itself
+    world.run(5)  # a loan that is not renewed ends
     assert shares(world) == pytest.approx([1 / 3] * 3)
 
 
@@ -59,7 +60,7 @@
     assert shares(world) == pytest.approx([1 / 2, 1 / 6, 1 / 3])
 
 
-def test_who_is_cut_off_falls_to_its_floor_and_the_others_take_the_rest_later():
+def test_a_cut_off_process_falls_to_the_floor_and_the_others_get_the_rest_later():
     world = joined()
     world.cut = {frozenset(("p0", "p2")), frozenset(("p1", "p2"))}
     world.run(4)
@@ -71,7 +72,7 @@
     assert shares(world) == pytest.approx([1 / 3] * 3)
 
 
-def test_who_leaves_hands_back_at_once():
+def test_a_leaving_process_returns_its_share_at_once():
     world = joined()
     leaver = world.processes[2]
     world.post(leaver, leaver.ledger.leave(leaver.now))
@@ -81,17 +82,17 @@
     assert shares(world) == pytest.approx([5 / 12, 5 / 12])
 
 
-def test_two_of_one_name_have_one_part_together():
+def test_two_processes_of_one_name_share_one_capacity_share():
     world = joined()
-    former = world.processes[2]
-    former.paused = True
+    earlier = world.processes[2]
+    earlier.paused = True
     world.start("p2")
     world.run(20)
     assert shares(world) == pytest.approx([1 / 3, 1 / 3, 1 / 6, 1 / 6])
-    world.resume(former)
+    world.resume(earlier)
     world.run(2)
-    assert former.ledger.over and shares(world)[2] == 0
-    world.end(former)
+    assert earlier.ledger.ended and shares(world)[2] == 0
+    world.end(earlier)
     assert world.processes[2].ledger.share(world.processes[2].now, 0) == pytest.approx(1 / 3)
 
 
@@ -107,12 +108,12 @@
         {"loan": math.nan},
     ],
 )
-def test_rules_that_cannot_be_used_are_named(change):
+def test_invalid_rules_are_named(change):
     with pytest.raises(FleetConfigTrouble, match="overload." + next(iter(change))):
         Rules(**{"count": 3, "voters": ("a", "b", "c"), **change}).check()
 
 
-def test_other_rules_by_reload_keep_the_sum():
+def test_reloaded_rules_keep_the_sum():
     world = joined(4)
     rules = Rules(5, world.rules.voters)
     for process in world.processes:
@@ -122,18 +123,18 @@
     assert shares(world) == pytest.approx([1 / 5] * 4)
 
 
-def test_malformed_bodies_change_nothing():
+def test_malformed_bodies_are_ignored():
     world = joined()
     before = shares(world)
-    odd = b"\x94\x04\x01\x01\x91\xcb\x7f\xf8" + b"\0" * 6  # an amount that is no number
-    for body in (b"", b"\xc1", b"\x91" * 5000, pack(Beat(1, 1))[:-1], odd):
+    odd = b"\x94\x04\x01\x01\x91\xcb\x7f\xf8" + b"\0" * 6  # an amount that is NaN
+    for body in (b"", b"\xc1", b"\x91" * 5000, pack(Heartbeat(1, 1))[:-1], odd):
         assert unpack(body) is None
-    assert len(pack(Beat(2**60, 2**63 - 1, bytes(8 * MOST_ASKED)))) <= MOST_BODY
+    assert len(pack(Heartbeat(2**60, 2**63 - 1, bytes(8 * MAX_QUERIED)))) <= MOST_BODY
     assert shares(world) == before
 
 
 class Schedules(RuleBasedStateMachine):
-    """Any schedule of a few processes; the world checks the sum after each message and each step."""
+    """Random schedules of a few processes; the sum is checked after each message and each step."""
 
     make = Ledger
 
@@ -217,14 +218,14 @@
     )
 
 
-def test_no_schedule_makes_the_parts_more_than_the_whole():
+def test_no_random_schedule_exceeds_the_total():
     explore()
 
 
-def storm(make, seed, steps=50):
-    """A schedule by chance, for defects that need many steps."""
+def random_faults(make, seed, steps=50):
+    """A random schedule, for defects that need many steps."""
     world = World(3 + seed % 5, seed, make)
-    world.spares = (1.0, 0.05, -0.05)
+    world.lendable_choices = (1.0, 0.05, -0.05)
     world.run(9, 0.5)
     rng = world.random
     for _ in range(steps):
@@ -261,7 +262,7 @@
 
 
 def restarted_voter(make):
-    """The one voter that two sides have in common restarts, and hears of one side a little before the
+    """The only voter that two sides of a partition share restarts, and receives from one side before the
     other."""
     world = World(7, 1, make, voters=("p0", "p1", "p2"))
     world.run(10)
@@ -277,22 +278,22 @@
 
 
 def lost_grant(make):
-    """A lender takes some back by a grant that is lost, and lends it to another."""
+    """A lender takes some share back by a grant that is lost, and lends it to another process."""
     world = joined(make=make)
     world.borrow(world.processes[0], "p1", (1.0, 0.0))
     world.run(1)
-    world.spares = (-0.1,)
+    world.lendable_choices = (-0.1,)
     world.borrow(world.processes[0], "p1", (1.0, 0.0))
     world.run(0.25)
     world.loss = 1.0
     world.run(0.5)
-    world.loss, world.spares = 0.0, (1.0,)
+    world.loss, world.lendable_choices = 0.0, (1.0,)
     world.borrow(world.processes[2], "p1", (1.0, 0.0))
     world.run(1)
 
 
 def late_acknowledgement(make):
-    """The last acknowledgement of a process that is cut off takes long on its way."""
+    """The last acknowledgement to a process that is cut off arrives late."""
     world = joined(make=make)
     while not any(sender == "p2" for _, sender, *_ in world.net):
         world.run(0.25)
@@ -303,7 +304,7 @@
 
 
 def fast_and_slow(make):
-    """Long loans between a fast clock and a slow one: drift comes to more than what messages take."""
+    """Long loans between a fast clock and a slow one: drift exceeds the message delay."""
     world = World(3, 1, make, lease=100.0, loan=100.0)
     for rate, process in zip((0.995, 1.0049, 1.0), world.processes, strict=True):
         process.rate = rate
@@ -316,23 +317,23 @@
 SCHEDULES = (lost_grant, late_acknowledgement, restarted_voter, fast_and_slow)
 
 
-def test_no_storm_makes_the_parts_more_than_the_whole():
+def test_no_written_or_long_schedule_exceeds_the_total():
     for schedule in SCHEDULES:
         schedule(Ledger)
     for seed in range(int(os.environ.get("OVERLOAD_SEEDS", 6))):
-        storm(Ledger, seed)
+        random_faults(Ledger, seed)
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_the_checker_finds_a_planted_defect(defect):
+def test_schedules_detect_defects(defect):
     with pytest.raises(AssertionError, match="p1"):
         for schedule in SCHEDULES:
             schedule(DEFECTS[defect])
         for seed in range(10):
-            storm(DEFECTS[defect], seed)
+            random_faults(DEFECTS[defect], seed)
 
 
-def test_no_small_schedule_makes_the_parts_more_than_the_whole():
+def test_no_small_schedule_exceeds_the_total():
     states, transitions = map(sum, zip(*(search(start=start) for start in STARTS), strict=True))
     assert states > 2000 and transitions > 5000
 
@@ -340,12 +341,12 @@
 @pytest.mark.parametrize(
     "defect",
     [
-        "no fall without a majority",
-        "the lender grants before it lowers",
-        "who was called silent is acknowledged at once",
+        "the lease never ends",
+        "the lender grants before it lowers its share",
+        "a silent process is acknowledged at once",
     ],
 )
-def test_the_small_model_finds_a_planted_defect(defect):
+def test_the_small_model_detects_defects(defect):
     with pytest.raises(AssertionError, match="p1"):
         for start in STARTS:
             search(DEFECTS[defect], start=start)
