--- a/aspenrill/fleet/config.py
+++ b/aspenrill/fleet/config.py
@@ -1,4 +1,4 @@
-"""The fleet's part of a configuration: `deploy/fleet.toml`, or `[fleet]` in an application's file."""
+"""Configuration of the fleet: `deploy/fleet.toml`, or the table `[fleet]` of an application's file."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 Address = tuple[str, int]
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,47}")
 LABEL = re.compile(r"[A-Za-z0-9._-]{0,32}")
-PARTS = ("overload", "authority", "kept", "purges", "groups")
+COMPONENTS = ("overload", "authority", "kept", "purges", "groups")
 
 
 @dataclass(frozen=True)
 class Config:
-    """Checked. `tables` are those of the parts, which read them and note their faults in `faults`."""
+    """A parsed configuration. `tables` are those of the components, which read them and add to `faults`."""
 
     enabled: bool
     name: str
     fleet: str
     listen: Address
-    advertise: Address | None  # None: as it listens
+    advertise: Address | None  # None: the listening address
     seeds: tuple[Address, ...]
     key_file: str
     state: str
@@ -40,7 +40,8 @@
     faults: list[str] = field(compare=False, repr=False)
 
     def check(self) -> None:
-        """FleetConfigTrouble with the first fault, if there is any: ask again once all parts have read."""
+        """Raise FleetConfigTrouble with the first fault, if any. To be called again after the components have
+        read."""
         if self.faults:
             more = f" (and {len(self.faults) - 1} more)" if self.faults[1:] else ""
             raise FleetConfigTrouble(f"{self.faults[0]}{more}")
@@ -64,39 +65,39 @@
 
 def _addresses(top: Reader, name: str) -> tuple[Address, ...]:
     found = []
-    for at, text in enumerate(top.texts(name)):
+    for index, text in enumerate(top.texts(name)):
         try:
             found.append(parse(text))
         except ValueError:
-            top.fault(f"{name}[{at}]", f"ADDRESS:PORT with a numeric address is wanted, got {text!r}")
+            top.fault(f"{name}[{index}]", f"ADDRESS:PORT with a numeric address is wanted, got {text!r}")
     unique(top, name, found)
     return tuple(found)
 
 
-def _pace(row: Reader) -> Pace:
-    usual = Pace()
-    least = row.number("suspect_least_ms", usual.suspicion_min * 1000, 10, 60000) / 1000
-    most = row.number("suspect_most_ms", usual.suspicion_max * 1000, 10, 600000) / 1000
-    if least > most:
+def _timing(row: Reader) -> Pace:
+    defaults = Pace()
+    suspicion_min = row.number("suspect_least_ms", defaults.suspicion_min * 1000, 10, 60000) / 1000
+    suspicion_max = row.number("suspect_most_ms", defaults.suspicion_max * 1000, 10, 600000) / 1000
+    if suspicion_min > suspicion_max:
         row.fault("suspect_least_ms", "must not be beyond suspect_most_ms")
     pace = Pace(
-        probe_interval=row.number("period_ms", usual.probe_interval * 1000, 50, 60000) / 1000,
-        ack_timeout=row.number("ack_ms", usual.ack_timeout * 1000, 5, 60000) / 1000,
-        suspicion_min=least,
-        suspicion_max=most,
-        gossip_interval=row.number("gossip_ms", usual.gossip_interval * 1000, 10, 60000) / 1000,
-        fanout=int(row.number("fanout", usual.fanout, 1, 20)),
-        sync=row.number("exchange_s", usual.sync, 1, 86400),
-        reconnect_interval=row.number("reconnect_ms", usual.reconnect_interval * 1000, 100, 600000) / 1000,
-        forget_after=row.number("forget_s", usual.forget_after, 10, 10 * 86400),
-        entries_kept=row.number("entries_s", usual.entries_kept, 5, 86400),
+        probe_interval=row.number("period_ms", defaults.probe_interval * 1000, 50, 60000) / 1000,
+        ack_timeout=row.number("ack_ms", defaults.ack_timeout * 1000, 5, 60000) / 1000,
+        suspicion_min=suspicion_min,
+        suspicion_max=suspicion_max,
+        gossip_interval=row.number("gossip_ms", defaults.gossip_interval * 1000, 10, 60000) / 1000,
+        fanout=int(row.number("fanout", defaults.fanout, 1, 20)),
+        sync=row.number("exchange_s", defaults.sync, 1, 86400),
+        reconnect_interval=row.number("reconnect_ms", defaults.reconnect_interval * 1000, 100, 600000) / 1000,
+        forget_after=row.number("forget_s", defaults.forget_after, 10, 10 * 86400),
+        entries_kept=row.number("entries_s", defaults.entries_kept, 5, 86400),
     )
     row.end()
     return pace
 
 
 def read(top: Reader) -> Config:
-    """The table of a fleet. Faults are noted at `top`; `check` raises the first."""
+    """Read the table of a fleet. Faults are collected in `top`; `check` raises the first."""
     listen = top.address("listen", "127.0.0.1:0")
     advertise = top.address("advertise") if "advertise" in top.table else None
     top.seen.add("advertise")
@@ -117,8 +118,8 @@
         voters=tuple(voters),
         front_ends=int(top.number("front_ends", 1, 1, MOST_PEERS)),
         alone=top.number("alone", 0.5, 0, 1),
-        pace=_pace(top.table_of("times")),
-        tables={name: top.table_of(name) for name in PARTS},
+        pace=_timing(top.table_of("times")),
+        tables={name: top.table_of(name) for name in COMPONENTS},
         faults=top.faults,
     )
     top.end()
@@ -126,7 +127,7 @@
 
 
 def read_text(text: str) -> Config:
-    """The configuration of a file whose whole text, or whose [fleet], is a fleet's table."""
+    """Parse a file that is a fleet's table or has one at [fleet]."""
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as why:
@@ -139,7 +140,7 @@
 
 
 def read_file(path: str | Path) -> Config:
-    """As `read_text`, of a file. FleetConfigTrouble where it cannot be read or used."""
+    """Read and parse a file. FleetConfigTrouble if it cannot be read or used."""
     try:
         return read_text(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as why:
--- a/aspenrill/fleet/interface.py
+++ b/aspenrill/fleet/interface.py
@@ -1,9 +1,8 @@
-"""What the fleet's parts have in common: who is there, what each tells of itself, what a part may ask for.
+"""The interface between the fleet service and its components: members, shared state, effects.
 
-A part is a module free of I/O. It is given the time with each call (seconds of CLOCK_BOOTTIME, which goes on
-while the process is paused and while the machine sleeps) and answers with effects, which its driver carries
-out in their order: on the hub in a process, on a virtual clock in tests. Times of two processes are never
-compared.
+A component does no I/O. Each call gives it the time (seconds of CLOCK_BOOTTIME, which continues while the
+process is paused or the machine sleeps) and returns effects, which the driver executes in order: on the hub
+in a process, on a virtual clock in tests. Times of two processes are never compared.
 """
 
 from __future__ import annotations
@@ -13,14 +12,14 @@
 from enum import IntEnum
 from typing import Protocol
 
-DRIFT = 0.01  # by which two clocks may differ in rate; lease arithmetic allows for it
+DRIFT = 0.01  # maximum relative difference of two clocks' rates, allowed for by leases
 MOST_PEERS = 1100
-MOST_BODY = 900  # bytes of a message's body: with name, place and tag a datagram stays under 1,200
+MOST_BODY = 900  # bytes of a message body: with names, place and tag a datagram stays under 1,200
 MOST_VALUE = 600  # bytes of one entry's value
 
 
 class State(IntEnum):
-    """Of a member, as this process sees it. A higher one wins within an incarnation."""
+    """The state of a member as this process sees it. A higher one wins within an incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -30,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Place:
-    """Where a process runs: purges go down this tree."""
+    """Where a process runs. Purges are relayed along this tree."""
 
     site: str = ""
     building: str = ""
@@ -39,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A process, as one `incarnation` of its name: a restart has a higher one and fences the former."""
+    """One `incarnation` of a process: a restart has a higher one and fences the former."""
 
     name: str
     incarnation: int
@@ -50,13 +49,13 @@
 
     @property
     def there(self) -> bool:
-        """Counts as running: alive, or suspected and not yet found dead."""
+        """Whether it counts as running: alive, or suspected and not yet declared dead."""
         return self.state <= State.SUSPECT
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What one origin tells under a topic: the later (incarnation, version) wins. An empty value ends it."""
+    """One origin's value of a topic: the later (incarnation, version) wins. An empty value removes it."""
 
     origin: str
     incarnation: int
@@ -66,22 +65,22 @@
 
 
 class View(Protocol):
-    """What a part may look at in any call, always as of now."""
+    """The current state of the fleet, for components to read in any call."""
 
     name: str
     incarnation: int
     place: Place
 
     def members(self) -> Mapping[str, Member]:
-        """All that are known by name, this process among them; the dead stay for a while."""
+        """All known members by name, including this process; dead ones stay for a while."""
         ...
 
     def entry(self, origin: str, topic: str) -> Entry | None:
-        """The latest of an origin."""
+        """The latest entry of an origin."""
         ...
 
     def entries(self, topic: str) -> Iterable[Entry]:
-        """The latest of each origin that is not dead."""
+        """The latest entry of each origin that is not dead."""
         ...
 
 
@@ -90,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """This process's own entry under a topic, from now on; it spreads to all."""
+    """Publish this process's entry of a topic to all members."""
 
     topic: str
     value: bytes
@@ -98,7 +97,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Post:
-    """A message to the same part of another process: it may be lost, late, out of order or come twice."""
+    """Send a message to the same component of another process. It may be lost, late, reordered or
+    repeated."""
 
     to: str
     body: bytes
@@ -106,8 +106,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """On disk before the effects behind it are carried out. If it fails, those of the same call are dropped
-    and the part's `on_disk` is told. None removes the record."""
+    """Write a record to disk before the effects after it are executed. If that fails, the remaining effects
+    of the call are dropped and the component's `on_disk` is called. None deletes the record."""
 
     key: str
     value: bytes | None
@@ -115,14 +115,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Inform:
-    """A fact for the owner's queue, or for the driver where the part's page says so."""
+    """Pass a fact to the owner or, where documented, to the driver."""
 
     fact: object
 
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """A log line; the driver bounds how many there are a minute."""
+    """Write a log line; the driver limits their rate."""
 
     text: str
 
@@ -131,30 +131,31 @@
 
 
 class Part(Protocol):
-    """One concern of the fleet. `name` marks its messages; `topics` are the entries it wants to hear of."""
+    """A component of the fleet service. `name` identifies its messages; `topics` are the entries that it
+    receives."""
 
     name: str
     topics: tuple[str, ...]
-    period: float  # seconds between two calls of `on_tick`, at most; a paused process makes them late
+    period: float  # maximum seconds between calls of `on_tick`, unless the process is paused
 
     def on_start(self, now: float, view: View, stored: Mapping[str, bytes]) -> list[Effect]:
-        """Once, with what `Store` kept from former lives of this name."""
+        """Called once, with the records stored by earlier runs under this name."""
         ...
 
     def on_member(self, now: float, member: Member) -> list[Effect]:
-        """A member is new, has another incarnation, place or state."""
+        """A member is new or has another incarnation, place or state."""
         ...
 
     def on_entry(self, now: float, entry: Entry) -> list[Effect]:
-        """An entry under one of the part's topics, later than the one known before."""
+        """An entry of one of the component's topics is new or updated."""
         ...
 
     def on_message(self, now: float, sender: str, incarnation: int, body: bytes) -> list[Effect]:
-        """What a process that was alive not long ago has posted; its body is checked by the part."""
+        """A message of a recently live process has arrived. The component validates its body."""
         ...
 
     def on_tick(self, now: float) -> list[Effect]:
-        """Time has passed."""
+        """Run what is due."""
         ...
 
     def on_disk(self, now: float, key: str) -> list[Effect]:
@@ -162,19 +163,19 @@
         ...
 
     def on_leave(self, now: float) -> list[Effect]:
-        """This process is about to end in good order: what it holds is handed back at once."""
+        """This process is about to stop: release leases and loans."""
         ...
 
 
-# ---- the one authority --------------------------------------------------------------------------------
+# ---- the authority --------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Agreed:
-    """A record of the coordinator's log that is on the disks of a majority of voters.
+    """A committed record of the coordinator's log: it is on the disks of a majority of voters.
 
-    Records are numbered from 1 without gaps. The later of one (kind, key) supersedes the earlier, which may
-    then never be told to who comes late; an empty body ends it. So the keys in use bound what is kept.
+    Records are numbered from 1 without gaps. The later one of a (kind, key) supersedes the earlier, which a
+    late follower may never receive; an empty body deletes it. So the number of keys bounds what is stored.
     """
 
     number: int
@@ -185,31 +186,34 @@
 
 
 class Authority(Protocol):
-    """One coordinator at a time, by a lease of a majority of the configured voters, with a fencing epoch."""
+    """Elects one coordinator at a time, by a lease of a majority of the configured voters, with a fencing
+    epoch."""
 
     def coordinating(self, now: float) -> int | None:
-        """The epoch in which this process coordinates just now; None where it does not. Ask at each use."""
+        """The epoch in which this process is the coordinator at this moment, or None. To be checked at each
+        use."""
         ...
 
     def settled(self, now: float) -> bool:
-        """Coordinating, its log whole, and every lease that a predecessor may have granted is over."""
+        """Whether this process coordinates, has the complete log, and every lease of its predecessors has
+        ended."""
         ...
 
     def epoch(self) -> int:
-        """The highest seen: orders of a lower one are refused."""
+        """The highest epoch seen; orders of a lower one are rejected."""
         ...
 
     def propose(self, now: float, kind: str, key: str, body: bytes) -> list[Effect]:
-        """Where it coordinates: one more record, told as Agreed to every part once it is. Lost with the
-        lease: whoever wants it proposes again, so steps are such that a repeat does no harm."""
+        """Append a record if this process coordinates; followers receive it once it is committed. It is lost
+        with the lease: callers propose it again, so proposals must be idempotent."""
         ...
 
 
 class Follower(Part, Protocol):
-    """A part that follows the log, in the order of its numbers and each record once in a life."""
+    """A component that receives the log's records of some kinds, in order and each once in a run."""
 
     kinds: tuple[str, ...]
 
     def on_agreed(self, now: float, record: Agreed) -> list[Effect]:
-        """One more record of its kinds; at voters and at all others, who hear of it later."""
+        """A record was committed. Called at voters and, later, at all other members."""
         ...
--- a/aspenrill/fleet/joining.py
+++ b/aspenrill/fleet/joining.py
@@ -1,4 +1,4 @@
-"""Makes a front end one of a fleet: its service, its parts, and what they and the owner say to each other."""
+"""Joins a front end to a fleet: creates its service and components and connects them to the owner."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from ..node import ConfigError, Node
 from ..reader import Reader
 from . import config
-from .desk import Desk
-from .feed import EVERY, Feed
+from .broadcast import Broadcast, BroadcastReceived
+from .components import FrontEndNames, build
 from .kept.front import LoadNews
+from .operator_interface import OperatorInterface
 from .overload.bridge import Bridge
 from .overload.facts import Facts
-from .parts import Names, build
+from .request_feed import FLUSH_INTERVAL, RequestFeed
 from .service import Service, boottime
-from .tell import Heard, Tell
 
 
-def _config(table: dict[str, Any], path: str) -> config.Config:
-    found = config.read(Reader(table, path, []))
-    found.check()
-    return found
+def _read_config(table: dict[str, Any], path: str) -> config.Config:
+    fleet_config = config.read(Reader(table, path, []))
+    fleet_config.check()
+    return fleet_config
 
 
 def join(
@@ -37,65 +37,65 @@
     classes: Sequence[str] = (),
     tenants: Sequence[str] = (),
 ) -> Callable[[], None]:
-    """Join the fleet that the table names; `read` reads it (anew). The function that comes back does so at
-    SIGHUP. ConfigError where the table, its keys or its folder cannot be used."""
-    names = Names(tuple(classes), node.settings.classes, tuple(tenants))
-    tell = Tell()
+    """Join the fleet of the configuration table that `read` returns. Returns the function that reloads it at
+    SIGHUP. ConfigError if the table, its keys or its folder cannot be used."""
+    names = FrontEndNames(tuple(classes), node.settings.classes, tuple(tenants))
+    broadcast = Broadcast()
 
-    def inform(part: str, fact: Any) -> None:
+    def on_fact(component: str, fact: Any) -> None:
         match fact:
-            case Heard(sender, data):
+            case BroadcastReceived(sender, data):
                 if node.settings.may_tell:
                     node.post(books.Heard(sender, data))
             case Facts():
                 node.fleet_facts = fact
             case _:
-                desk.inform(part, fact)
+                operator.on_fact(component, fact)
 
     try:
-        found = _config(read(), path)
-        parts = build(found, names, random.Random(os.urandom(16)))
-        desk = Desk(hub, parts, names.classes)
-        service = Service(hub, found, (tell, *parts.all()), inform)
+        fleet_config = _read_config(read(), path)
+        components = build(fleet_config, names, random.Random(os.urandom(16)))
+        operator = OperatorInterface(hub, components, names.classes)
+        service = Service(hub, fleet_config, (broadcast, *components.all()), on_fact)
         service.start()
     except Trouble as why:
         raise ConfigError(why.line()) from None
-    desk.start(service)
+    operator.start(service)
 
-    def loaded(news: LoadNews) -> None:
-        service.carry_out(parts.purges, parts.purges.load(boottime(), news))
-        service.pump()
+    def on_load(news: LoadNews) -> None:
+        service.execute(components.purges, components.purges.load(boottime(), news))
+        service.dispatch()
 
     if node.settings.may_tell:
-        node.owner.tell = lambda data: service.carry_out(tell, tell.tell(data))
-    node.owner.kept = parts.front(loaded)
-    if parts.overload is not None or parts.groups is not None:
-        bridge = Bridge(parts.overload) if parts.overload is not None else None
+        node.owner.tell = lambda data: service.execute(broadcast, broadcast.send(data))
+    node.owner.kept = components.answer_cache(on_load)
+    if components.overload is not None or components.groups is not None:
+        bridge = Bridge(components.overload) if components.overload is not None else None
         if bridge is not None:
             bridge.started()
-        node.owner.fleet = feed = Feed(node.owner, parts, bridge)
-        hub.spawn(lambda: _feed(hub, service, feed), name="feed")
+        node.owner.fleet = feed = RequestFeed(node.owner, components, bridge)
+        hub.spawn(lambda: _run_feed(hub, service, feed), name="feed")
     node.goodbye = service.leave
 
-    def again() -> None:
+    def reload() -> None:
         table = read()
         if table.get("enabled") is not True:
             raise ConfigError(f"{path}enabled: a new start is needed to leave the fleet")
         try:
-            now = _config(table, path)
-            wanted = build(now, names, random.Random(0))
-            service.reload(now)
+            new_config = _read_config(table, path)
+            new_components = build(new_config, names, random.Random(0))
+            service.reload(new_config)
         except Trouble as why:
             raise ConfigError(why.line()) from None
-        desk.reload(now, wanted)
+        operator.reload(new_config, new_components)
 
-    return again
+    return reload
 
 
-def _feed(hub: Hub, service: Service, feed: Feed) -> None:
+def _run_feed(hub: Hub, service: Service, feed: RequestFeed) -> None:
     while service.link.open:
         try:
-            feed.turn(boottime())
+            feed.flush(boottime())
         except Exception as why:
             service.log("feed", repr(why))
-        hub.sleep(EVERY)
+        hub.sleep(FLUSH_INTERVAL)
--- a/aspenrill/fleet/peer.py
+++ b/aspenrill/fleet/peer.py
@@ -1,8 +1,8 @@
-"""A bare process of a fleet, without any front: python -m aspenrill.fleet.peer FILE.toml
+"""A process of a fleet without a front end: python -m aspenrill.fleet.peer FILE.toml
 
-It is a member and a voter like all others. Its log says `member NAME INCARNATION STATE` at each change; who
-is there stands in members.json in the state folder, whole at any time. It runs the parts that its tables have
-on; `desk` says what they log. SIGHUP reads keys, seeds and the folder of purges.
+It is a member and a voter like the others. It logs `member NAME INCARNATION STATE` at each change and writes
+the members to members.json in the state folder, which is replaced atomically. It runs the enabled components;
+see `operator_interface` for their log lines. SIGHUP reloads keys, seeds and the purge folder.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 from ..net.hub import Hub
 from ..net.logwriter import LogWriter
 from ..start import on_signal, open_log
+from .components import FrontEndNames, build
 from .config import read_file
-from .desk import Desk
 from .interface import Member, State
-from .parts import Names, build
+from .operator_interface import OperatorInterface
 from .service import Service
 from .whole import write_whole
 
-SOON = 0.05  # seconds within which changes come to the file together
+WRITE_DELAY = 0.05  # seconds in which changes are combined into one write
 
 
-class Listing:
-    """members.json, as of now."""
+class MemberFile:
+    """Writes members.json."""
 
     def __init__(self, hub: Hub) -> None:
-        self.hub, self.service, self._due = hub, None, False
+        self.hub, self.service, self._write_pending = hub, None, False
 
-    def changed(self, member: Member) -> None:
-        """A line for each change; the file soon."""
+    def on_change(self, member: Member) -> None:
+        """Log a change and schedule a write."""
         self.hub.log(f"member {member.name} {member.incarnation} {State(member.state).name}")
-        if not self._due:
-            self._due = True
-            self.hub.timers.after(SOON, self.write)
+        if not self._write_pending:
+            self._write_pending = True
+            self.hub.timers.after(WRITE_DELAY, self.write)
 
     def write(self) -> None:
-        """The file anew."""
-        self._due = False
+        """Write the file."""
+        self._write_pending = False
         rows = [
             {
                 "name": m.name,
@@ -67,22 +67,22 @@
             self.service.log("disk", why.line())
 
 
-def main(words: Sequence[str] | None = None) -> int:
-    """Run until SIGTERM; 2 where the configuration cannot be used."""
-    words = sys.argv[1:] if words is None else words
+def main(args: Sequence[str] | None = None) -> int:
+    """Run until SIGTERM. Returns 2 if the configuration cannot be used."""
+    args = sys.argv[1:] if args is None else args
     hub = Hub(LogWriter(open_log()))
-    if len(words) != 1:
+    if len(args) != 1:
         print("usage: python -m aspenrill.fleet.peer FILE.toml", file=sys.stderr)
         return 2
-    listing = Listing(hub)
+    member_file = MemberFile(hub)
     service: Service | None = None
 
     def reload() -> None:
         try:
-            config = read_file(words[0])
-            wanted = build(config, Names(), random.Random(0))
+            config = read_file(args[0])
+            new_components = build(config, FrontEndNames(), random.Random(0))
             service.reload(config)
-            desk.reload(config, wanted)
+            operator.reload(config, new_components)
         except Trouble as why:
             hub.log(f"configuration not taken, the old one stays: {why.line()}")
 
@@ -92,10 +92,12 @@
 
     on_signal(hub, signal.SIGHUP, reload)
     try:
-        config = read_file(words[0])
-        parts = build(config, Names(), random.Random(os.urandom(16)))
-        desk = Desk(hub, parts)
-        service = listing.service = Service(hub, config, parts.all(), desk.inform, listing.changed)
+        config = read_file(args[0])
+        components = build(config, FrontEndNames(), random.Random(os.urandom(16)))
+        operator = OperatorInterface(hub, components)
+        service = member_file.service = Service(
+            hub, config, components.all(), operator.on_fact, member_file.on_change
+        )
         service.start()
     except Trouble as why:
         print(f"aspenrill: {why.line()}", file=sys.stderr)
@@ -104,7 +106,7 @@
         print(f"aspenrill: fleet: listen: {why}", file=sys.stderr)
         return 2
     on_signal(hub, signal.SIGTERM, leave)
-    desk.start(service)
+    operator.start(service)
     hub.run()
     return 0
 
--- a/aspenrill/fleet/feed.py
+++ b/aspenrill/fleet/request_feed.py
@@ -1,7 +1,7 @@
-"""What a front end's owner and module know, told to the parts: demand, engines, loads that were written.
+"""Feeds the components with the owner's and the decision module's state: demand, engines, written loads.
 
-The owner calls `asked`, `refused`, `probed` and `ended`, which only count; twice a second `Feed.turn` hands
-on what has come together, and reads the module's public attributes.
+The owner calls `asked`, `refused`, `probed` and `ended`, which only count. Twice a second `flush` passes on
+what has accumulated, together with the decision module's public attributes.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 from ..core.books import Call, Ended, Probed
 from ..core.owner import Owner
 from ..policy.figures import THREADS_A_CORE
+from .components import Components
 from .groups.splits import Facts as GroupFacts
 from .overload.bridge import Bridge
-from .parts import Parts
 
-EVERY = 0.5  # seconds
-MOST_PROBED = 256  # kept between two turns
-OUTAGE = 0.1  # of the engines that are out, from which no split takes a step
+FLUSH_INTERVAL = 0.5  # seconds
+MAX_PROBE_RESULTS = 256  # kept between two flushes
+OUTAGE_THRESHOLD = 0.1  # ejected share of the engines above which splits are held
 
 
-class Feed:
-    """The owner's `fleet`, where overload or groups are on."""
+class RequestFeed:
+    """The owner's `fleet`, if overload or groups are enabled."""
 
-    def __init__(self, owner: Owner, parts: Parts, bridge: Bridge | None) -> None:
-        self.owner, self.parts, self.bridge = owner, parts, bridge
-        self._asked: Counter[tuple[int, int]] = Counter()
+    def __init__(self, owner: Owner, components: Components, bridge: Bridge | None) -> None:
+        self.owner, self.components, self.bridge = owner, components, bridge
+        self._requested: Counter[tuple[int, int]] = Counter()
         self._refused: Counter[tuple[int, int]] = Counter()
-        self._probed: deque[tuple[str, bool]] = deque(maxlen=MOST_PROBED)
-        self._out: set[str] = set()
-        self._engines: tuple[list[tuple[str, float]], list[str]] | None = None
+        self._probed: deque[tuple[str, bool]] = deque(maxlen=MAX_PROBE_RESULTS)
+        self._ejected: set[str] = set()
+        self._last_engines: tuple[list[tuple[str, float]], list[str]] | None = None
 
-    # ---- the owner's calls ----------------------------------------------------------------------------
+    # ---- called by the owner ----------------------------------------------------------------------------
 
     def asked(self, call: Call) -> None:
-        """A request goes to the module."""
-        self._asked[call.cls, call.tenant] += 1
+        """A request is passed to the decision module."""
+        self._requested[call.cls, call.tenant] += 1
 
     def refused(self, call: Call) -> None:
-        """It was refused."""
+        """A request was refused."""
         self._refused[call.cls, call.tenant] += 1
 
     def probed(self, end: Probed) -> None:
@@ -48,8 +48,8 @@
         self._probed.append((end.peer.engine, end.outcome is api.Outcome.OK))
 
     def ended(self, end: Ended) -> None:
-        """An attempt has ended well: what a load wrote, as the bytes of its statement."""
-        call, groups = end.attempt.call, self.parts.groups
+        """An attempt has succeeded: count what a load has written, by the bytes of its statement."""
+        call, groups = end.attempt.call, self.components.groups
         if groups is None or call.data_set is None or not self.owner.settings.classes[call.cls].is_load:
             return
         groups.count(
@@ -59,43 +59,43 @@
             round(1000 * (end.work or 0.0)),
         )
 
-    # ---- twice a second -------------------------------------------------------------------------------
+    # ---- periodic -------------------------------------------------------------------------------
 
-    def turn(self, now: float) -> None:
-        """Hand on. `now` is CLOCK_BOOTTIME."""
+    def flush(self, now: float) -> None:
+        """Pass on what has accumulated. `now` is CLOCK_BOOTTIME."""
         gateway = self.owner.gateway
-        out = {e.entry.engine for e in gateway.ejected if not e.healthy}
+        ejected = {e.entry.engine for e in gateway.ejected if not e.healthy}
         if self.bridge is not None:
-            self._demand(now)
-            self._list()
-            for engine in sorted(out - self._out):
+            self._pass_demand(now)
+            self._pass_engines()
+            for engine in sorted(ejected - self._ejected):
                 self.bridge.on_ejected(now, engine)
-            for engine, back in self._probed:
-                self.bridge.on_probed(now, engine, back)
-            for engine in sorted(self._out - out):
+            for engine, recovered in self._probed:
+                self.bridge.on_probed(now, engine, recovered)
+            for engine in sorted(self._ejected - ejected):
                 self.bridge.on_probed(now, engine, True)
         self._probed.clear()
-        self._out = out
-        if self.parts.groups is not None:
-            self.parts.groups.tell(
+        self._ejected = ejected
+        if self.components.groups is not None:
+            self.components.groups.tell(
                 now,
                 GroupFacts(
                     gateway.rung > 0,
-                    len(out) > OUTAGE * len(gateway.live),
+                    len(ejected) > OUTAGE_THRESHOLD * len(gateway.live),
                     tuple(sorted(e.entry.engine for e in gateway.live)),
                 ),
             )
 
-    def _demand(self, now: float) -> None:
+    def _pass_demand(self, now: float) -> None:
         gateway = self.owner.gateway
         work = [learned.usual_work() for learned in gateway.classes]
         worth = [learned.spec.worth for learned in gateway.classes]
-        for (cls, tenant), count in self._asked.items():
+        for (cls, tenant), count in self._requested.items():
             for _ in range(count):
                 self.bridge.asked(now, cls, tenant, work[cls], worth[cls])
         for (cls, tenant), count in self._refused.items():
             self.bridge.on_refused(now, cls, tenant, count * work[cls])
-        self._asked.clear()
+        self._requested.clear()
         self._refused.clear()
         waiting = {query.ask.cls for query in gateway.held.values()}
         self.bridge.set_load(
@@ -105,11 +105,11 @@
             max((worth[cls] / max(1e-3, work[cls]) for cls in waiting), default=0.0),
         )
 
-    def _list(self) -> None:
-        """The list, where it has changed or an engine is no longer cold."""
+    def _pass_engines(self) -> None:
+        """Pass on the engine list if it has changed or an engine is no longer cold."""
         gateway, now = self.owner.gateway, time.monotonic()
         warm = [(e.entry.engine, THREADS_A_CORE * e.cores) for e in gateway.live if now >= e.cold_until]
         cold = [e.entry.engine for e in gateway.live if now < e.cold_until]
-        if (warm, cold) != self._engines:
-            self._engines = warm, cold
+        if (warm, cold) != self._last_engines:
+            self._last_engines = warm, cold
             self.bridge.engines(warm, cold)
--- a/aspenrill/fleet/service.py
+++ b/aspenrill/fleet/service.py
@@ -1,4 +1,5 @@
-"""The fleet's side of one process: the peers and the parts on the hub, and their effects carried out."""
+"""The fleet service of one process: runs the peer protocol and the components on the hub and executes
+effects."""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 from ..errors import DiskTrouble, FleetConfigTrouble, NameTrouble
 from ..net.hub import Closed, Hub, TimedOut
 from .config import Config
-from .durable import Durable
+from .durable import DurableStore
 from .interface import Agreed, Effect, Entry, Inform, Member, Note, Part, Place, Post, Put, Store
 from .peers.events import Posted, Renamed, Self
 from .peers.keys import read_keys
@@ -21,100 +22,103 @@
 from .peers.node import Peers
 from .peers.wire import BOOT_ID_BYTES
 
-LONGEST_WAIT = 0.1  # seconds between two looks at what is due
-NOTES, NOTES_IN = 30, 60.0  # log lines of one part, and of one reason to refuse, in so many seconds
-SOME = 5  # lines of one reason to refuse in that time
-LEAVE_FOR = 0.5  # seconds given to the news that this process leaves
-COUNTS_EVERY = 600.0  # seconds between two log lines of the counters
-MOST_ROUNDS = 10_000  # of events that parts cause to each other at once; more is a loop
-OWN = "peers"  # under which the service keeps its own records
+MAX_WAIT = 0.1  # seconds
+MAX_LINES = 30  # log lines of one subject in one window
+LINES_WINDOW = 60.0  # seconds
+MAX_REFUSAL_LINES = 5  # log lines of one reason for refused datagrams in one window
+LEAVE_TIME = 0.5  # seconds for which the announcement that this process leaves is gossiped
+COUNTERS_INTERVAL = 600.0  # seconds between log lines of the counters
+MAX_ROUNDS = 10_000  # rounds of events that components cause to each other; more is an endless loop
+OWN_RECORDS = "peers"  # the name under which the service stores its own records
 
 
 def boottime() -> float:
-    """Seconds of a clock that also runs while this process or the machine sleeps."""
+    """Seconds of a clock that continues while the process is paused or the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Limited:
-    """A log of bounded length: by subject so many lines in a span of time, then how many were left out."""
+class RateLimitedLog:
+    """A rate-limited log: a number of lines for each subject in a window, then how many were suppressed."""
 
     def __init__(self, log: Callable[[str], None], clock: Callable[[], float]) -> None:
         self._log, self._clock = log, clock
-        self._from = clock()
+        self._window_start = clock()
         self._lines: Counter[str] = Counter()
-        self._left_out: Counter[str] = Counter()
+        self._suppressed: Counter[str] = Counter()
 
-    def __call__(self, subject: str, text: str, most: int = NOTES) -> None:
-        """One line, if it has its turn."""
+    def __call__(self, subject: str, text: str, limit: int = MAX_LINES) -> None:
+        """Write a line, unless the subject's limit is reached."""
         now = self._clock()
-        if now >= self._from + NOTES_IN:
-            for name, count in self._left_out.items():
+        if now >= self._window_start + LINES_WINDOW:
+            for name, count in self._suppressed.items():
                 self._log(f"fleet {name}: {count} further lines")
-            self._from = now
+            self._window_start = now
             self._lines.clear()
-            self._left_out.clear()
-        if self._lines[subject] < most and len(self._lines) < 256:
+            self._suppressed.clear()
+        if self._lines[subject] < limit and len(self._lines) < 256:
             self._lines[subject] += 1
             self._log(f"fleet {subject}: {text}")
         else:
-            self._left_out[subject] += 1
+            self._suppressed[subject] += 1
 
 
-class Seen:
-    """What parts may look at: `interface.View`."""
+class MemberView:
+    """Implements `interface.View` for the components."""
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
 
     @property
     def name(self) -> str:
-        """Of this process."""
+        """The name of this process."""
         return self._peers.table.me.name
 
     @property
     def incarnation(self) -> int:
-        """Of this process."""
+        """The incarnation of this process."""
         return self._peers.table.me.incarnation
 
     @property
     def place(self) -> Place:
-        """Of this process."""
+        """The place of this process."""
         return self._peers.table.me.member().place
 
     def members(self) -> Mapping[str, Member]:
-        """All by name, this process among them."""
+        """All members by name, including this process."""
         return self._peers.table.members
 
     def entry(self, origin: str, topic: str) -> Entry | None:
-        """The latest of an origin."""
+        """The latest entry of an origin."""
         return self._peers.board.entry(origin, topic)
 
     def entries(self, topic: str) -> Iterable[Entry]:
-        """The latest of each that is not dead."""
+        """The latest entry of each origin that is not dead."""
         return self._peers.board.entries(topic)
 
 
 class Service:
-    """Runs peers and parts. Facts of the parts go to `inform(part's name, fact)`, changes of members also to
-    `watch`. `fenced`: an elder process has this one's name; parts are called no more, leases run out."""
+    """Runs the peer protocol and the components. Facts go to `on_fact(component's name, fact)`, member
+    changes also to `on_member_change`. `fenced`: an elder process has this name; components are no longer
+    called, leases expire."""
 
     def __init__(
         self,
         hub: Hub,
         config: Config,
-        parts: Sequence[Part],
-        inform: Callable[[str, Any], None] = lambda part, fact: None,
-        watch: Callable[[Member], None] = lambda member: None,
+        components: Sequence[Part],
+        on_fact: Callable[[str, Any], None] = lambda component, fact: None,
+        on_member_change: Callable[[Member], None] = lambda member: None,
     ) -> None:
-        self.hub, self.config, self.parts, self.inform, self.watch = hub, config, tuple(parts), inform, watch
-        self.log = Limited(hub.log, boottime)
+        self.hub, self.config, self.components = hub, config, tuple(components)
+        self.on_fact, self.on_member_change = on_fact, on_member_change
+        self.log = RateLimitedLog(hub.log, boottime)
         self.faults = 0
         self.trouble: NameTrouble | None = None
         keys = read_keys(config.key_file, config.fleet)
-        self.store = Durable(config.state)
+        self.store = DurableStore(config.state)
         try:
             incarnation = self._incarnation()
-            self.link = Link(hub, config.listen, boottime, self.pump)
+            self.link = Link(hub, config.listen, boottime, self.dispatch)
         except BaseException:
             self.store.close()
             raise
@@ -126,33 +130,33 @@
             random.Random(os.urandom(16)),
             boottime(),
         )
-        self.view = Seen(self.peers)
-        self._by_name = {part.name: part for part in self.parts}
+        self.view = MemberView(self.peers)
+        self._by_name = {component.name: component for component in self.components}
         self._tick_at = dict.fromkeys(self._by_name, 0.0)
-        self._own_mail: deque[tuple[str, bytes]] = deque()
-        self._pumping = self._leaving = False
-        self._counts_at = boottime() + COUNTS_EVERY
+        self._local_messages: deque[tuple[str, bytes]] = deque()
+        self._dispatching = self._leaving = False
+        self._counters_at = boottime() + COUNTERS_INTERVAL
         self._refused: Counter[str] = Counter()
 
     @property
     def fenced(self) -> bool:
-        """This process has stepped back: another one has its name."""
+        """Whether this process has withdrawn because another one has its name."""
         return self.trouble is not None
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The listening address."""
         return self.link.address
 
     def _incarnation(self) -> int:
-        """Higher than that of each former life: Unix time in ms, or one more than the last."""
-        last = self.store.records(OWN).get("incarnation", b"")
-        return self._keep_incarnation(max(time.time_ns() // 1_000_000, int.from_bytes(last, "big") + 1))
+        """An incarnation above those of earlier runs: Unix time in ms, or the last one plus one."""
+        last = self.store.records(OWN_RECORDS).get("incarnation", b"")
+        return self._store_incarnation(max(time.time_ns() // 1_000_000, int.from_bytes(last, "big") + 1))
 
-    def _keep_incarnation(self, incarnation: int) -> int:
-        """On disk; where it cannot be, the clock alone makes the next one higher."""
+    def _store_incarnation(self, incarnation: int) -> int:
+        """Store the incarnation. If that fails, the next one is higher by the clock alone."""
         try:
-            self.store.put(OWN, "incarnation", incarnation.to_bytes(8, "big"))
+            self.store.put(OWN_RECORDS, "incarnation", incarnation.to_bytes(8, "big"))
         except DiskTrouble as why:
             self.log("disk", why.line())
         return incarnation
@@ -160,169 +164,170 @@
     # ---- running --------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Parts first, then the peers. Effects of the parts' starts are carried out once all have started, so
-        that none hears of an agreed record before. StateTrouble where a part's records are damaged."""
+        """Start the components, then the peer protocol. The effects of the starts are executed once all
+        components have started, so that none receives a committed record before. StateTrouble if stored
+        records are damaged."""
         self.hub.log(
             f"fleet: {self.config.name} at {self.address[0]}:{self.address[1]}, "
             f"incarnation {self.view.incarnation}"
         )
         started: list[tuple[Part, list[Effect]]] = []
         try:
-            for part in self.parts:
-                records = self.store.records(part.name)
-                started.append((part, part.on_start(boottime(), self.view, records)))
+            for component in self.components:
+                records = self.store.records(component.name)
+                started.append((component, component.on_start(boottime(), self.view, records)))
         except BaseException:
             self.stop()
             raise
-        for part, effects in started:
-            self.carry_out(part, effects)
+        for component, effects in started:
+            self.execute(component, effects)
         self.hub.spawn(self._run, name="fleet")
 
     def _run(self) -> None:
         while self.link.open:
             try:
                 now = boottime()
-                due = min([self.peers.next_due(), now + LONGEST_WAIT, *self._tick_at.values()])
+                due = min([self.peers.next_due(), now + MAX_WAIT, *self._tick_at.values()])
                 try:
                     self.link.read(max(0.0, due - now))
                 except Closed:
                     return
-                self.turn()
+                self.run_due()
             except TimedOut:
                 pass
             except Exception:
                 self.faults += 1
                 self.hub.report("fleet", traceback.format_exc())
-                self.hub.sleep(LONGEST_WAIT)
+                self.hub.sleep(MAX_WAIT)
 
-    def turn(self) -> None:
-        """All that is due now."""
+    def run_due(self) -> None:
+        """Run everything that is due."""
         now = boottime()
         if now >= self.peers.next_due():
             self.peers.on_tick(now)
-        self.pump()
-        for part in self.parts:
+        self.dispatch()
+        for component in self.components:
             now = boottime()
-            if now >= self._tick_at[part.name]:
-                self._tick_at[part.name] = now + part.period
+            if now >= self._tick_at[component.name]:
+                self._tick_at[component.name] = now + component.period
                 if not self.fenced and not self._leaving:
-                    self._call(part, part.on_tick, now)
-        self.pump()
-        if now >= self._counts_at:
-            self._counts_at = now + COUNTS_EVERY
+                    self._call(component, component.on_tick, now)
+        self.dispatch()
+        if now >= self._counters_at:
+            self._counters_at = now + COUNTERS_INTERVAL
             self.hub.log("fleet counters: " + ", ".join(f"{k} {v}" for k, v in self.counters().items()))
 
-    def pump(self) -> None:
-        """Pass on what has happened until nothing more does, and send what comes of it."""
-        if self._pumping:
+    def dispatch(self) -> None:
+        """Dispatch events and local messages until there are none, then send the resulting datagrams."""
+        if self._dispatching:
             return
-        self._pumping = True
+        self._dispatching = True
         try:
-            for _ in range(MOST_ROUNDS):
+            for _ in range(MAX_ROUNDS):
                 events = self.peers.take_events()
-                if not events and not self._own_mail:
+                if not events and not self._local_messages:
                     break
                 for event in events:
-                    self._event(event)
-                for _ in range(len(self._own_mail)):
-                    name, body = self._own_mail.popleft()
-                    self._mail(name, self.view.name, self.view.incarnation, body)
+                    self._on_event(event)
+                for _ in range(len(self._local_messages)):
+                    name, body = self._local_messages.popleft()
+                    self._deliver(name, self.view.name, self.view.incarnation, body)
         finally:
-            self._pumping = False
+            self._dispatching = False
         self._log_refused()
         self.link.flush()
 
-    def _event(self, event: Any) -> None:
+    def _on_event(self, event: Any) -> None:
         now = boottime()
         match event:
             case Member():
-                self.watch(event)
-                for part in self._active():
-                    self._call(part, part.on_member, now, event)
+                self.on_member_change(event)
+                for component in self._active_components():
+                    self._call(component, component.on_member, now, event)
             case Entry():
-                for part in self._active():
-                    if event.topic in part.topics:
-                        self._call(part, part.on_entry, now, event)
-            case Posted(part, sender, incarnation, body):
-                self._mail(part, sender, incarnation, body)
+                for component in self._active_components():
+                    if event.topic in component.topics:
+                        self._call(component, component.on_entry, now, event)
+            case Posted(component, sender, incarnation, body):
+                self._deliver(component, sender, incarnation, body)
             case Renamed(incarnation, trouble):
-                self._renamed(incarnation, trouble)
+                self._on_identity_changed(incarnation, trouble)
 
-    def _active(self) -> Sequence[Part]:
-        return () if self.fenced or self._leaving else self.parts
+    def _active_components(self) -> Sequence[Part]:
+        return () if self.fenced or self._leaving else self.components
 
-    def _mail(self, name: str, sender: str, incarnation: int, body: bytes) -> None:
-        part = self._by_name.get(name)
-        if part is not None and not self.fenced:
-            self._call(part, part.on_message, boottime(), sender, incarnation, body)
+    def _deliver(self, name: str, sender: str, incarnation: int, body: bytes) -> None:
+        component = self._by_name.get(name)
+        if component is not None and not self.fenced:
+            self._call(component, component.on_message, boottime(), sender, incarnation, body)
 
-    def _renamed(self, incarnation: int, trouble: NameTrouble | None) -> None:
+    def _on_identity_changed(self, incarnation: int, trouble: NameTrouble | None) -> None:
         if trouble is not None:
             self.hub.log(trouble.line())
         elif self.fenced:
             self.hub.log(f"fleet: {self.view.name} is ours again, incarnation {incarnation}")
         self.trouble = trouble
-        self._keep_incarnation(incarnation)
+        self._store_incarnation(incarnation)
 
     # ---- effects --------------------------------------------------------------------------------------
 
-    def _call(self, part: Part, call: Callable[..., list[Effect]], *args: Any) -> None:
-        """Call a part; a fault of its own ends this one call."""
+    def _call(self, component: Part, call: Callable[..., list[Effect]], *args: Any) -> None:
+        """Call a component; an exception ends only this call."""
         try:
             effects = call(*args)
         except Exception:
             self.faults += 1
-            self.hub.report(f"fleet {part.name}, {call.__name__}", traceback.format_exc())
+            self.hub.report(f"fleet {component.name}, {call.__name__}", traceback.format_exc())
             return
-        self.carry_out(part, effects)
+        self.execute(component, effects)
 
-    def carry_out(self, part: Part, effects: Sequence[Effect]) -> None:
-        """Effects in their order. Whoever calls a part from outside hands its effects over here."""
+    def execute(self, component: Part, effects: Sequence[Effect]) -> None:
+        """Execute effects in order. Callers of a component from outside the service pass its effects here."""
         for effect in effects:
             match effect:
                 case Store(key, value):
                     try:
-                        self.store.put(part.name, key, value)
+                        self.store.put(component.name, key, value)
                     except DiskTrouble as why:
                         self.log("disk", why.line())
-                        self._call(part, part.on_disk, boottime(), key)
+                        self._call(component, component.on_disk, boottime(), key)
                         return
                 case Post(to, body):
                     if to == self.view.name:
-                        self._own_mail.append((part.name, body))
+                        self._local_messages.append((component.name, body))
                     else:
-                        self._checked(part, self.peers.post, boottime(), to, part.name, body)
+                        self._call_checked(component, self.peers.post, boottime(), to, component.name, body)
                 case Put(topic, value):
-                    self._checked(part, self.peers.put, boottime(), topic, value)
+                    self._call_checked(component, self.peers.put, boottime(), topic, value)
                 case Inform(fact):
-                    self._fact(part, fact)
+                    self._on_fact(component, fact)
                 case Note(text):
-                    self.log(part.name, text)
+                    self.log(component.name, text)
 
-    def _checked(self, part: Part, call: Callable[..., Any], *args: Any) -> None:
+    def _call_checked(self, component: Part, call: Callable[..., Any], *args: Any) -> None:
         try:
             call(*args)
         except ValueError as why:
             self.faults += 1
-            self.hub.report(f"fleet {part.name}: {why}")
+            self.hub.report(f"fleet {component.name}: {why}")
 
-    def _fact(self, part: Part, fact: Any) -> None:
-        if part.name == "authority" and isinstance(fact, Agreed):
-            for other in self.parts:
+    def _on_fact(self, component: Part, fact: Any) -> None:
+        if component.name == "authority" and isinstance(fact, Agreed):
+            for other in self.components:
                 if fact.kind in getattr(other, "kinds", ()):
                     self._call(other, other.on_agreed, boottime(), fact)
             return
         try:
-            self.inform(part.name, fact)
+            self.on_fact(component.name, fact)
         except Exception:
             self.faults += 1
-            self.hub.report(f"fleet {part.name}: a fact", traceback.format_exc())
+            self.hub.report(f"fleet {component.name}: handling a fact", traceback.format_exc())
 
     # ---- signals, counters ----------------------------------------------------------------------------
 
     def reload(self, config: Config) -> None:
-        """After SIGHUP: other keys and seeds. KeyTrouble or FleetConfigTrouble where they cannot be used, and
-        all stays as it was."""
+        """Apply other keys and seeds after SIGHUP. KeyTrouble or FleetConfigTrouble if they cannot be used;
+        nothing is changed then."""
         config.check()
         if config.name != self.config.name or config.fleet != self.config.fleet:
             raise FleetConfigTrouble("name and fleet cannot change without a new start")
@@ -339,28 +344,29 @@
         self.hub.log("fleet: keys and seeds read again")
 
     def leave(self) -> None:
-        """After SIGTERM: parts hand back, then all are told; in half a second it is over."""
+        """Stop after SIGTERM: the components release leases and loans, then the departure is gossiped for
+        half a second."""
         if self._leaving:
             return
         if not self.fenced:
-            for part in self.parts:
-                self._call(part, part.on_leave, boottime())
-            self.pump()
+            for component in self.components:
+                self._call(component, component.on_leave, boottime())
+            self.dispatch()
         self._leaving = True
         self.peers.leave(boottime())
         self.link.flush()
-        self.hub.sleep(LEAVE_FOR)
+        self.hub.sleep(LEAVE_TIME)
         self.stop()
 
     def stop(self) -> None:
-        """Over at once. May be called twice."""
+        """Stop at once. May be called twice."""
         self._leaving = True
         if self.link.open:
             self.link.close()
             self.store.close()
 
     def counters(self) -> dict[str, int]:
-        """What has been counted since the start."""
+        """The counters since the start."""
         peers, link = self.peers, self.link
         return {
             "members": len(peers.table),
@@ -377,13 +383,13 @@
         }
 
     def _log_refused(self) -> None:
-        """One line for each reason to refuse that is new, a few in a minute."""
+        """Log the reasons for refused datagrams and streams, at a limited rate."""
         refused = self.peers.refused
         if refused.total() == self._refused.total():
             return
         text, address = self.peers.last_refused
         for reason, count in refused.items():
             if count > self._refused[reason]:
-                more = f": {text}, from {address[0]}:{address[1]}" if text.startswith(reason) else ""
-                self.log(f"refused {reason}", f"{count} so far{more}", SOME)
+                details = f": {text}, from {address[0]}:{address[1]}" if text.startswith(reason) else ""
+                self.log(f"refused {reason}", f"{count} so far{details}", MAX_REFUSAL_LINES)
         self._refused = refused.copy()
--- a/aspenrill/fleet/whole.py
+++ b/aspenrill/fleet/whole.py
@@ -1,4 +1,4 @@
-"""Files that are written whole or not at all."""
+"""Atomic replacement of files."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def write_whole(path: Path, data: bytes) -> bool:
-    """Whether it was written anew; what is there already stays, so a repeat is harmless. A reader sees the
-    old file or the new one, also after a crash. Raises DiskTrouble; the old file is whole then."""
+    """Replace a file atomically; returns whether its content changed. A reader sees the old or the new file,
+    also after a crash. DiskTrouble if it fails; the old file is unchanged then."""
     draft = path.with_name(f".{path.name}.new")
     try:
         if path.exists() and path.read_bytes() == data:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""The world on a virtual clock: it plays the same again, delivers what it should, and finds what is wrong."""
+"""The simulated cluster on a virtual clock: reproducibility, delivery, faults and detection of defects."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 from standins.peered import PeeredCluster
 
 NAMES = ["a", "b", "c", "d"]
-LEASE, MARGIN = 3.0, 0.05
+LEASE = 3.0  # seconds
+MARGIN = 0.05  # seconds
 
 
 class Quiet:
-    """A part that does nothing."""
+    """A component that only records what it receives."""
 
     name, topics, period = "quiet", (), 0.5
 
@@ -52,10 +53,10 @@
 
 
 class Lender(Quiet):
-    """Each process owns one unit. It lends it out by a lease, and asks for those of others."""
+    """Each process owns one unit, lends it under a lease, and requests those of others."""
 
     name = "lender"
-    from_request = waits = looks_at_use = True
+    from_request = waits = reads_clock_at_use = True
 
     def on_start(self, now, view, stored):
         super().on_start(now, view, stored)
@@ -86,35 +87,37 @@
         return []
 
     def may(self, now):
-        now = now if self.looks_at_use else self.seen
+        now = now if self.reads_clock_at_use else self.seen
         return (now >= self.lent_until) + sum(now < until for until in self.held.values())
 
 
-class FromReceipt(Lender):
+class CountsFromReceipt(Lender):
     from_request = False
 
 
-class Forgets(Lender):
+class ForgetsAfterRestart(Lender):
     waits = False
 
 
-class LooksBefore(Lender):
-    looks_at_use = False
+class UsesStaleTime(Lender):
+    reads_clock_at_use = False
 
 
-def never_more_than_the_whole(world):
+def units_in_use_never_exceed_the_total(world):
     held = sum(part.may(proc.clock()) for proc in world.running for part in proc.parts)
     assert held <= len(world.procs), f"{held} units of {len(world.procs)}"
 
 
 def play(part, seed, seconds=60.0, names=NAMES, **more):
-    world = Cluster(seed, names, lambda name, rng: [part(rng)], checks=[never_more_than_the_whole], **more)
+    world = Cluster(
+        seed, names, lambda name, rng: [part(rng)], checks=[units_in_use_never_exceed_the_total], **more
+    )
     world.play(schedule(seed, names, seconds))
     world.run(seconds)
     return world
 
 
-def test_a_right_part_keeps_its_promise_and_lends():
+def test_a_correct_component_keeps_the_invariant_and_lends():
     lent = 0
     for seed in range(25):
         world = play(Lender, seed, garbage=0.1)
@@ -123,14 +126,14 @@
     assert lent > 100
 
 
-@pytest.mark.parametrize("part", [FromReceipt, Forgets, LooksBefore])
-def test_a_planted_defect_is_found(part):
+@pytest.mark.parametrize("part", [CountsFromReceipt, ForgetsAfterRestart, UsesStaleTime])
+def test_defects_are_detected(part):
     with pytest.raises(Broken, match=r"seed \d+, .* s: AssertionError: \d units of 4"):
         for seed in range(60):
             play(part, seed)
 
 
-def test_a_seed_plays_the_same_again():
+def test_a_seed_is_reproducible():
     def steps(seed):
         world = play(Lender, seed, 30.0)
         return world.steps, [(p.name, p.life, p.clock(), p.part("lender").held) for p in world.running]
@@ -147,7 +150,7 @@
     return world
 
 
-def test_a_death_is_noticed_and_a_restart_fences():
+def test_a_death_is_detected_and_a_restart_fences():
     world = quiet()
     world.crash("a")
     assert world.until(lambda: all(p.known["a"].state is State.DEAD for p in world.running), 20)
@@ -159,7 +162,7 @@
     assert world.until(lambda: all(p.known["b"].state is State.LEFT for p in world.running), 5)
 
 
-def test_each_side_of_a_partition_takes_the_other_for_dead_until_it_heals():
+def test_each_side_of_a_partition_holds_the_other_dead_until_it_heals():
     world = quiet()
     world.net.part(["a", "b"])
     dead = lambda: [sum(m.state is State.DEAD for m in p.known.values()) for p in world.running]  # noqa: E731
@@ -171,11 +174,11 @@
     assert world.until(lambda: dead() == [0, 0, 0, 0], 20)
 
 
-def test_entries_reach_all_over_a_partition_that_heals_and_end_when_empty():
-    class Teller(Quiet):
+def test_entries_spread_after_a_partition_heals_and_empty_ones_remove():
+    class Subscriber(Quiet):
         topics = ("t",)
 
-    world = quiet(Teller)
+    world = quiet(Subscriber)
     world.net.part(["a"])
     world.do("a", lambda p: [Put("t", b"old"), Put("t", b"new")])
     world.run(3)
@@ -187,15 +190,19 @@
     assert world.until(lambda: not any(list(p.entries("t")) for p in world.running), 20)
 
 
-def test_messages_are_lost_repeated_and_overtaken_as_the_link_says():
+def test_messages_are_lost_repeated_and_reordered_as_configured():
     world = quiet()
-    for link, least, most in ((Link(), 100, 100), (Link(loss=0.5), 25, 75), (Link(repeat=1.0), 200, 200)):
+    for link, minimum, maximum in (
+        (Link(), 100, 100),
+        (Link(loss=0.5), 25, 75),
+        (Link(repeat=1.0), 200, 200),
+    ):
         world.net.link("a", "b", link)
         log = world.procs["b"].part("quiet").log = []
         for number in range(100):
             world.do("a", lambda p, n=number: [Post("b", bytes([n]))])
         world.run(1)
-        assert least <= sum(len(row) == 3 for row in log) <= most
+        assert minimum <= sum(len(row) == 3 for row in log) <= maximum
     world.net.link("a", "b", Link(jitter_ms=500))
     log = world.procs["b"].part("quiet").log = []
     for number in range(100):
@@ -205,7 +212,7 @@
     assert sorted(came) == [bytes([n]) for n in range(100)] != came
 
 
-def test_a_paused_process_finds_all_that_came_and_its_clock_went_on():
+def test_a_paused_process_receives_everything_and_its_clock_continues():
     world = quiet()
     before = world.procs["a"].clock()
     world.pause("a", 20.0)
@@ -219,7 +226,7 @@
     assert abs(world.procs["a"].clock() - before - 21.0) < 21.0 * DRIFT
 
 
-def test_a_trip_falls_between_two_effects():
+def test_a_trip_interrupts_between_two_effects():
     world = quiet()
     world.trip("a", 1, "crash")
     world.do("a", lambda p: [Store("k", b"1"), Store("k", b"2")])
@@ -231,7 +238,7 @@
     assert world.procs["b"].kept == {"quiet": {"k": b"2"}}
 
 
-def test_disks_are_full_lost_and_damaged():
+def test_disks_fill_up_and_are_lost_or_damaged():
     class Careful(Quiet):
         def on_start(self, now, view, stored):
             if stored and stored["k"] != b"good":
@@ -252,7 +259,7 @@
             assert world.procs["a"].part("quiet").stored == stored
 
 
-def test_what_is_agreed_goes_to_the_parts_that_follow_its_kind():
+def test_committed_records_go_to_the_followers_of_their_kind():
     class Authority(Quiet):
         name = "authority"
 
@@ -273,7 +280,7 @@
     "effect, text",
     [(Post("b", b"x" * 901), "901 bytes"), (Put("t", b"x" * 601), "601 bytes"), ("nothing", "no effect")],
 )
-def test_what_no_driver_carries_out_is_a_fault(effect, text):
+def test_invalid_effects_are_faults(effect, text):
     class Wrong(Quiet):
         def on_tick(self, now):
             return [effect]
@@ -282,7 +289,7 @@
         quiet(Wrong).run(2)
 
 
-def test_schedules_hold_all_kinds_and_end_calm():
+def test_schedules_contain_all_kinds_of_faults_and_end_without_faults():
     seen = Counter(row[1] for seed in range(20) for row in schedule(seed, NAMES, 60.0))
     assert seen.keys() == {
         "crash",
@@ -307,39 +314,43 @@
     assert len(world.running) == 200 and world.steps > 2_000
 
 
-# ---- with the program's own peers ---------------------------------------------------------------------
+# ---- with the program's peer protocol -----------------------------------------------------------------
 
 
 def play_peered(part, seed, seconds=60.0):
-    world = PeeredCluster(seed, NAMES, lambda name, rng: [part(rng)], checks=[never_more_than_the_whole])
+    world = PeeredCluster(
+        seed, NAMES, lambda name, rng: [part(rng)], checks=[units_in_use_never_exceed_the_total]
+    )
     world.play(schedule(seed, NAMES, seconds))
     world.run(seconds)
     return world
 
 
-def test_with_peers_a_right_part_keeps_its_promise_and_all_know_each_other_in_the_end():
+def test_with_peers_a_correct_component_keeps_the_invariant_and_members_converge():
     lent = 0
     for seed in range(8):
         world = play_peered(Lender, seed)
         assert [m.state for p in world.running for m in p.members().values()] == [State.ALIVE] * 16
-        lives = {p.name: p.incarnation for p in world.running}
-        assert all({m.name: m.incarnation for m in p.members().values()} == lives for p in world.running)
+        incarnations = {p.name: p.incarnation for p in world.running}
+        assert all(
+            {m.name: m.incarnation for m in p.members().values()} == incarnations for p in world.running
+        )
         lent += sum(len(proc.part("lender").held) for proc in world.running)
     assert lent > 30
 
 
-def test_with_peers_a_planted_defect_is_found():
+def test_with_peers_a_defect_is_detected():
     with pytest.raises(Broken):
         for seed in range(30):
-            play_peered(FromReceipt, seed)
+            play_peered(CountsFromReceipt, seed)
 
 
-def test_with_peers_entries_and_messages_come_through_and_a_seed_plays_the_same_again():
-    class Teller(Quiet):
+def test_with_peers_entries_and_messages_arrive_and_a_seed_is_reproducible():
+    class Subscriber(Quiet):
         topics = ("t",)
 
     def log(seed):
-        world = PeeredCluster(seed, NAMES, lambda name, rng: [Teller(rng)], link=Link(delay_ms=5))
+        world = PeeredCluster(seed, NAMES, lambda name, rng: [Subscriber(rng)], link=Link(delay_ms=5))
         assert world.until(lambda: sum(len(p.members()) for p in world.running) == 16, 20)
         world.do("a", lambda p: [Put("t", b"told"), Post("b", b"sent"), Post("a", b"to myself")])
         assert world.until(lambda: all(p.entry("a", "t") for p in world.running), 20)
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -1,4 +1,5 @@
-"""The parts in real processes: bare ones behind a relay, and one whole sidecar. Waits are for conditions."""
+"""The fleet's components in real processes behind a relay, with and without a sidecar, and their
+configuration."""
 
 from __future__ import annotations
 
@@ -15,12 +16,12 @@
 from aspenrill import api
 from aspenrill.core import books
 from aspenrill.errors import FleetConfigTrouble
+from aspenrill.fleet.components import FrontEndNames, build
 from aspenrill.fleet.config import read
-from aspenrill.fleet.feed import Feed
 from aspenrill.fleet.kept.front import Kept
 from aspenrill.fleet.kept.policy import Policy, Rule
 from aspenrill.fleet.kept.store import Store
-from aspenrill.fleet.parts import Names, build
+from aspenrill.fleet.request_feed import RequestFeed
 from aspenrill.net.hub import Hub
 from aspenrill.reader import Reader
 from standins.clients import TdsClient
@@ -29,14 +30,14 @@
 from standins.world import TdsEngine
 
 LEASE = 1.0
-PARTS = {
+COMPONENTS = {
     "overload": {"enabled": True, "lease_s": 1.0, "loan_s": 0.5, "beat_s": 0.25, "margin_s": 0.1},
     "authority": {"enabled": True, "lease_s": 1.0, "renew_s": 0.2},
     "kept": {"enabled": True},
     "groups": {"enabled": True, "schedule": {"bytes": 1e9}},
 }
 ELECTED = re.compile(r"^authority coordinates (\d+)$", re.M)
-PART = re.compile(r"^part ([\d.]+) of the whole$", re.M)
+SHARE_LINE = re.compile(r"^part ([\d.]+) of the whole$", re.M)
 PLACES = {"a": "s1/b1/h", "b": "s2/b1/h", "c": "s2/b2/h", "d": "s1/b2/h", "e": "s1/b1/h", "f": "s2/b1/h"}
 
 
@@ -64,12 +65,12 @@
             "folder": str(folder),
             "state": str(fleet.folder / f"{label}.json"),
         },
-        **PARTS,
+        **COMPONENTS,
     )
 
 
 def coordinators(fleet: Fleet) -> dict[str, int]:
-    """Who coordinates by what they have logged, and in which epoch."""
+    """The coordinators and their epochs, according to their logs."""
     found = {}
     for process in fleet:
         text = process.text()
@@ -80,14 +81,14 @@
 
 
 def settled(fleet: Fleet) -> str:
-    """Wait until one coordinates and has settled, and all voters vote; who coordinates. A voter that has no
-    record yet can't stand in for one that is lost."""
+    """Wait until one process coordinates and has settled and all voters vote; return its name. A voter
+    without a stored record cannot replace one that is lost."""
 
     def one() -> bool:
         now = coordinators(fleet)
         return len(now) == 1 and any(f"authority settled {now[p]}" in fleet[p].text() for p in now)
 
-    fleet.until(one, "one coordinates, settled")
+    fleet.until(one, "one process coordinates and has settled")
     fleet.until(lambda: all("a voter from now on" in fleet[name].text() for name in "abc"), "all voters vote")
     return next(iter(coordinators(fleet)))
 
@@ -105,7 +106,7 @@
 
 
 def serves(fleet: Fleet, label: str) -> bool:
-    """Whether it has a lease, by its state file."""
+    """Whether it serves cached answers, according to its state file."""
     return (fleet.folder / f"{label}.json").exists() and state(fleet, label)["serves_kept"]
 
 
@@ -114,14 +115,14 @@
     return json.loads((fleet.folder / f"{label}.json").read_text())
 
 
-def test_another_coordinates_after_a_kill_with_a_higher_epoch_and_purges_go_on(fleet):
+def test_another_process_coordinates_after_a_kill_and_purges_continue(fleet):
     first = settled(fleet)
     epoch = coordinators(fleet)[first]
     order(fleet, fleet["e"], "one")
     complete(fleet, fleet["e"])
-    fleet.until(lambda: (fleet.folder / "e.purges" / "one.toml.done").exists(), "the file is done with")
+    fleet.until(lambda: (fleet.folder / "e.purges" / "one.toml.done").exists(), "the purge file is renamed")
     fleet[first].kill()
-    fleet.until(lambda: len(coordinators(fleet)) == 1, "another one")
+    fleet.until(lambda: len(coordinators(fleet)) == 1, "another process coordinates")
     ((second, later),) = coordinators(fleet).items()
     assert second in set("abc") - {first} and later > epoch
     order(fleet, fleet["e"], "two")
@@ -129,59 +130,65 @@
     assert "error" not in fleet["e"].text() + fleet[second].text()
 
 
-def test_a_purge_is_complete_where_a_relay_is_killed_and_one_stands_still_beyond_its_lease(fleet):
+def test_a_purge_completes_with_a_killed_relay_and_a_process_paused_beyond_its_lease(fleet):
     root = settled(fleet)
     fleet.until(lambda: all(serves(fleet, label) for label in PLACES), "all have leases")
-    quiet, relay = "f", next(label for label in "bc" if label != root)
-    fleet[quiet].pause()
+    paused, relay = "f", next(label for label in "bc" if label != root)
+    fleet[paused].pause()
     fleet[relay].kill()  # it may relay for its site, its building, or both
     order(fleet, fleet["e"], "one")
     complete(fleet, fleet["e"])
-    fleet[quiet].go_on()
+    fleet[paused].go_on()
     serial = state(fleet, "e")["serial"]
-    fleet.until(lambda: state(fleet, quiet)["serial"] >= serial and serves(fleet, quiet), "it knows it")
-    order(fleet, fleet[quiet], "two")
-    complete(fleet, fleet[quiet])
+    fleet.until(
+        lambda: state(fleet, paused)["serial"] >= serial and serves(fleet, paused),
+        "the paused process knows the purge",
+    )
+    order(fleet, fleet[paused], "two")
+    complete(fleet, fleet[paused])
     found = state(fleet, "e")
     assert not found["open"] and found["complete"][0]["state"] == "complete"
 
 
-def test_parts_sum_to_the_whole_at_most_after_a_third_is_killed(fleet):
+def test_capacity_shares_never_exceed_the_total_after_a_third_is_killed(fleet):
     each = 1 / len(PLACES)
-    fleet.until(lambda: all(part(fleet[label]) > 0.99 * each for label in PLACES), "all have an equal part")
+    fleet.until(lambda: all(share(fleet[label]) > 0.99 * each for label in PLACES), "all have an equal share")
     assert total(fleet) <= 1.0001
-    before = part(fleet["a"])
+    before = share(fleet["a"])
     for label in "ef":
         fleet[label].kill()
     fleet.until(
         lambda: all(
-            part(fleet[label]) > 1.1 * before or part(fleet[label]) > 1.05 * each for label in "abcd"
+            share(fleet[label]) > 1.1 * before or share(fleet[label]) > 1.05 * each for label in "abcd"
         ),
-        "the others have more",
+        "the others have larger shares",
     )
-    assert total(fleet) + 2 * 0.5 * each <= 1.0001  # floors of the dead belong to them
+    assert total(fleet) + 2 * 0.5 * each <= 1.0001  # the dead keep their floor shares
     fleet.start("e", "f")
-    fleet.until(lambda: all(part(fleet[label]) > 0.99 * each for label in "ef"), "they are back")
+    fleet.until(
+        lambda: all(share(fleet[label]) > 0.99 * each for label in "ef"), "they have their shares again"
+    )
     assert total(fleet) <= 1.0001
 
 
-def part(process: Process) -> float:
-    parts = PART.findall(process.text())
-    return float(parts[-1]) if parts else 0.0
+def share(process: Process) -> float:
+    shares = SHARE_LINE.findall(process.text())
+    return float(shares[-1]) if shares else 0.0
 
 
 def total(fleet: Fleet) -> float:
-    return sum(part(process) for process in fleet if process.running)
+    return sum(share(process) for process in fleet if process.running)
 
 
-def test_a_full_disk_ends_a_coordinators_term_and_a_damaged_file_is_refused_whole(fleet):
+def test_a_full_disk_ends_leadership_and_a_damaged_file_is_rejected(fleet):
     first = settled(fleet)
-    full = (fleet[first].folder / "state" / "fleet.sqlite3-wal").stat().st_size  # its log is far smaller
+    # the limit does not stop the process's log file, which is far smaller
+    full = (fleet[first].folder / "state" / "fleet.sqlite3-wal").stat().st_size
     resource.prlimit(fleet[first].pid, resource.RLIMIT_FSIZE, (full, full))
-    order(fleet, fleet["e"], "one")  # its record cannot be written there
+    order(fleet, fleet["e"], "one")  # the coordinator cannot write its record
     fleet.until(
         lambda: "fleet-disk" in fleet[first].text() and "authority rests" in fleet[first].text(),
-        "it has given up its office",
+        "it no longer coordinates",
     )
     complete(fleet, fleet["e"])
     assert coordinators(fleet).keys() < set("abc") - {first} and fleet[first].running.poll() is None
@@ -193,7 +200,7 @@
     assert fleet["d"].text().startswith(f"aspenrill: fleet-state: {file}")
 
 
-def test_a_sidecar_serves_what_it_keeps_until_a_purge_or_a_load(tmp_path):
+def test_a_sidecar_serves_cached_answers_until_a_purge_or_a_load(tmp_path):
     hub = Hub(print)
     engine = TdsEngine(hub, "engine-1")
     text = "select * from sales_17.orders"
@@ -203,7 +210,7 @@
             for label in "abc":
                 add(fleet, label, "s/b/h")
             on = {
-                **PARTS,
+                **COMPONENTS,
                 "kept": {"enabled": True, "class": [{"name": "lookup", "seconds": 600}]},
                 "purges": {"enabled": True, "lease_s": LEASE, "state": str(tmp_path / "app.json")},
             }
@@ -211,32 +218,32 @@
                 "app", [engine.listener.address], front_ends=6, voters=["a", "b", "c"], **on
             )
             fleet.start()
-            fleet.until(lambda: serves(fleet, "app"), "it may serve what it keeps")
+            fleet.until(lambda: serves(fleet, "app"), "it may serve cached answers")
             lookup = TdsClient(SimpleNamespace(hub=hub, address=process.front), "lookup", 5.0)
             load = TdsClient(SimpleNamespace(hub=hub, address=process.front), "scanner", 25.0)
 
             def reached(statement: str, client: TdsClient = lookup) -> bool:
                 before = len(engine.began)
-                fleet.until(lambda: served(statement, client), "it is served")
+                fleet.until(lambda: served(statement, client), "the request is served")
                 return len(engine.began) > before
 
             def served(statement: str, client: TdsClient) -> bool:
-                kind = client.ask(statement).kind  # where the machine stood still it is refused: asked again
+                kind = client.ask(statement).kind  # refused if the machine paused: sent again
                 assert kind in ("served", "refused")
                 return kind == "served"
 
-            def kept() -> bool:
+            def cached() -> bool:
                 reached(text)
                 return not reached(text)
 
-            fleet.until(kept, "an answer is kept")
+            fleet.until(cached, "an answer is cached")
             order(fleet, fleet["b"], "one")
             complete(fleet, fleet["b"])
-            assert reached(text), "not served from before the purge"
-            fleet.until(kept, "it is kept anew")
+            assert reached(text), "an answer from before the purge was served"
+            fleet.until(cached, "it is cached again")
             assert reached("/* key: k1 */ insert into sales_18.orders values (1)", load) and not reached(text)
             assert reached("/* key: k2 */ insert into sales_17.orders values (1)", load)
-            assert reached(text), "a load has purged it"
+            assert reached(text), "the load did not purge the answer"
             lookup.close()
             load.close()
             assert not any("error" in p.text() or "Traceback" in p.text() for p in fleet)
@@ -269,20 +276,20 @@
         ({"groups": {"splits": {"wurm_s": 1}}}, "fleet.groups.splits.wurm_s: no such field"),
     ],
 )
-def test_each_fault_is_named_by_its_field(tables, fault):
+def test_configuration_faults_name_the_field(tables, fault):
     with pytest.raises(FleetConfigTrouble, match=f"^{re.escape(fault)}"):
-        build(read(Reader({**BASE, **tables}, "fleet.", [])), Names(), None)
+        build(read(Reader({**BASE, **tables}, "fleet.", [])), FrontEndNames(), None)
 
 
-def test_only_what_is_on_is_made_and_the_authority_comes_first():
-    assert build(read(Reader(BASE, "", [])), Names(), None).all() == ()
-    on = {**PARTS, "purges": {"enabled": True, "lease_s": 20.0}}
-    parts = build(read(Reader({**BASE, **on}, "", [])), Names(), None)
+def test_only_enabled_components_are_built_authority_first():
+    assert build(read(Reader(BASE, "", [])), FrontEndNames(), None).all() == ()
+    on = {**COMPONENTS, "purges": {"enabled": True, "lease_s": 20.0}}
+    parts = build(read(Reader({**BASE, **on}, "", [])), FrontEndNames(), None)
     assert [p.name for p in parts.all()] == ["authority", "purges", "groups", "overload"]
     assert parts.authority.rules.longest == 20.0 and parts.purges.keeps
 
 
-# ---- a front end's owner and its feed -----------------------------------------------------------------
+# ---- the owner and its request feed ----------------------------------------------------------------------
 
 
 @pytest.fixture
@@ -294,41 +301,41 @@
     return found
 
 
-def test_requests_join_one_fetch_and_are_served_with_it_or_go_on(front):
+def test_requests_join_one_fetch_and_share_its_answer_or_continue(front):
     for ident in "abc":
         front.ask(ident)
     assert len(front.engines.started) == 1
-    front.owner.take(books.Tired(front.owner.open["b"]))  # goes on by itself
+    front.owner.take(books.Tired(front.owner.open["b"]))  # continues on its own
     assert len(front.engines.started) == 2
     front.end(0)
     assert [ident for ident, _ in front.answers] == ["a", "c"] and "b" in front.owner.open
-    front.ask("d")  # kept
+    front.ask("d")  # served from the cache
     assert front.answers[-1][0] == "d" and len(front.engines.started) == 2
     front.ask("l", b"insert into sales_17.t values (1)", 1)
-    front.ask("e")  # purged as the load was sent
+    front.ask("e")  # purged when the load was sent
     front.ask("f")
     assert len(front.engines.started) == 4 and len(front.answers) == 3
-    front.owner.take(books.Left(front.owner.open["e"]))  # whose fetch it was
+    front.owner.take(books.Left(front.owner.open["e"]))  # the request that was fetching
     assert len(front.engines.started) == 5 and front.engines.started[-1].call.id == "f"
     front.end(1)
     front.end(4)
     assert {ident for ident, _ in front.answers} == set("abcdf")
 
 
-def test_the_feed_tells_demand_engines_and_loads(front):
+def test_the_feed_passes_on_demand_engines_and_loads(front):
     bridge = SimpleNamespace(calls=[])
     for name in ("asked", "on_refused", "set_load", "engines", "on_ejected", "on_probed"):
-        setattr(bridge, name, lambda *told, name=name: bridge.calls.append((name, *told)))
+        setattr(bridge, name, lambda *args, name=name: bridge.calls.append((name, *args)))
     counted = []
     groups = SimpleNamespace(
-        count=lambda *told: counted.append(told), tell=lambda now, facts: counted.append(facts)
+        count=lambda *args: counted.append(args), tell=lambda now, facts: counted.append(facts)
     )
-    feed = front.owner.fleet = Feed(front.owner, SimpleNamespace(groups=groups), bridge)
+    feed = front.owner.fleet = RequestFeed(front.owner, SimpleNamespace(groups=groups), bridge)
     front.ask("a")
     front.ask("l", b"insert into sales_17.t values (1)", 1)
     front.end(1)
     assert counted == [(17, 1, 33, 250)]
-    feed.turn(5.0)
+    feed.flush(5.0)
     names = [call[0] for call in bridge.calls]
     assert names == ["asked", "asked", "set_load", "engines"]
     assert bridge.calls[0][:4] == ("asked", 5.0, 0, 0) and bridge.calls[0][5] == 2.0
@@ -341,10 +348,10 @@
     front.owner.gateway.ejected, engine.ejected_until = [engine], 1e12
     front.owner.take(books.Probed(front.owner.peers["x"], api.Outcome.TIMEOUT, 0.1))
     bridge.calls.clear()
-    feed.turn(5.5)
-    told = [call for call in bridge.calls if call[0] in ("on_ejected", "on_probed")]
-    assert told == [("on_ejected", 5.5, "x"), ("on_probed", 5.5, "x", False)] and counted[2].outage
+    feed.flush(5.5)
+    probe_calls = [call for call in bridge.calls if call[0] in ("on_ejected", "on_probed")]
+    assert probe_calls == [("on_ejected", 5.5, "x"), ("on_probed", 5.5, "x", False)] and counted[2].outage
     engine.ejected_until = 0.0
     bridge.calls.clear()
-    feed.turn(6.0)
+    feed.flush(6.0)
     assert ("on_probed", 6.0, "x", True) in bridge.calls and not counted[3].outage
--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -29,7 +29,7 @@
 # ---- scenarios, which assert an invariant ----------------------------------------------
 
 
-def no_live_member_is_declared_dead(make=Peers, size: int = 12, seconds: float = 60.0) -> None:
+def no_false_death(make=Peers, size: int = 12, seconds: float = 60.0) -> None:
     sim = fleet(size, make=make)
     sim.loss = 0.1
     sim.run(seconds)
@@ -155,28 +155,28 @@
     return make
 
 
-def no_suspicion_timeout(peers):
+def dead_at_once(peers):
     """Declares a member dead as soon as it is suspected."""
     peers.detector.declare_dead_at = lambda record: record.suspicion.since
     peers.detector._probe_indirectly = lambda now, seq, probe, record: setattr(probe, "stage", 1)
 
 
-def never_declares_dead(peers):
+def never_dead(peers):
     """Suspects members but never declares them dead."""
     peers.detector.declare_dead_at = lambda record: float("inf")
 
 
-def never_reconnects(peers):
+def no_retry(peers):
     """Never probes dead members or seeds again."""
     peers._reconnect_at = peers._seed_at = float("inf")
 
 
-def ignores_own_pauses(peers):
+def no_pauses(peers):
     """Does not detect that it was paused."""
     peers.detector.on_pause = lambda now: None
 
 
-def ignores_versions(peers):
+def no_versions(peers):
     """Stores whatever entry arrives last."""
 
     def merge(now, entry):
@@ -187,23 +187,23 @@
     peers.board.merge = merge
 
 
-def accepts_replays(peers):
+def replayed(peers):
     """Accepts replayed datagrams."""
     peers.replay_filter.check = lambda boot_id, count: None
 
 
-def ignores_name_conflicts(peers):
+def no_conflicts(peers):
     """Does not answer processes with its own name."""
     peers.names.on_packet = lambda now, packet, address: None
 
 
-def exchanges_too_often(peers):
+def many_syncs(peers):
     """Runs exchanges more often the larger the fleet is."""
     peers._sync_period = lambda: 10.0 / len(peers.table)
 
 
 SCENARIOS = [
-    no_live_member_is_declared_dead,
+    no_false_death,
     every_member_detects_a_death,
     partitions_change_and_heal,
     a_paused_process_declares_nobody_dead,
@@ -212,16 +212,7 @@
     the_younger_of_two_processes_with_one_name_withdraws,
     traffic_for_each_member_is_constant,
 ]
-DEFECTS = [
-    no_suspicion_timeout,
-    never_declares_dead,
-    never_reconnects,
-    ignores_own_pauses,
-    ignores_versions,
-    accepts_replays,
-    ignores_name_conflicts,
-    exchanges_too_often,
-]
+DEFECTS = [dead_at_once, never_dead, no_retry, no_pauses, no_versions, replayed, no_conflicts, many_syncs]
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of a fleet, bare ones without fronts, on loopback."""
+"""Real processes of a fleet without front ends, on loopback."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 import pytest
 
-WITHIN = 30.0  # seconds; conditions hold much sooner, this is for a machine that is busy
+TIMEOUT = 30.0  # seconds; conditions hold much sooner unless the machine is busy
 KEYS = ["ab" * 32, "cd" * 32]
 
 
@@ -56,10 +56,10 @@
 
     def members(self, slot: str) -> dict[str, dict[str, Any]]:
         try:
-            told = json.loads((self.folder / slot / "members.json").read_text())
+            content = json.loads((self.folder / slot / "members.json").read_text())
         except FileNotFoundError:
             return {}
-        return {row["name"]: row for row in told["members"]}
+        return {row["name"]: row for row in content["members"]}
 
     def states(self, slot: str) -> dict[str, str]:
         return {name: row["state"] for name, row in self.members(slot).items()}
@@ -70,10 +70,10 @@
     def kill(self, slot: str, number: int = signal.SIGKILL) -> int:
         process = self.running.pop(slot)
         process.send_signal(number)
-        return process.wait(WITHIN)
+        return process.wait(TIMEOUT)
 
     def until(self, holds: Callable[[], bool]) -> None:
-        end = time.monotonic() + WITHIN
+        end = time.monotonic() + TIMEOUT
         while not holds():
             assert time.monotonic() < end, {slot: self.log(slot)[-2000:] for slot in self.running}
             time.sleep(0.05)
@@ -92,7 +92,7 @@
         process.wait()
 
 
-def test_three_find_each_other_one_is_killed_and_comes_back(fleet):
+def test_three_processes_join_and_one_is_killed_and_returns(fleet):
     for slot in "abc":
         fleet.start(slot)
     fleet.until(lambda: fleet.all_alive("a", "b", "c"))
@@ -109,7 +109,7 @@
     assert os.listdir(fleet.folder / "b") and "error" not in fleet.log("a") + fleet.log("b")
 
 
-def test_keys_change_by_sighup_and_a_name_is_one_processs(fleet):
+def test_keys_rotate_by_sighup_and_names_are_exclusive(fleet):
     for slot in "ab":
         fleet.start(slot)
     fleet.until(lambda: fleet.all_alive("a", "b"))
@@ -136,7 +136,7 @@
     fleet.until(lambda: "configuration not taken, the old one stays: fleet-key" in fleet.log("a"))
 
 
-def test_one_that_stood_still_is_dead_and_comes_back_without_judging(fleet):
+def test_a_paused_process_returns_without_declaring_others_dead(fleet):
     for slot in "abc":
         fleet.start(slot)
     fleet.until(lambda: fleet.all_alive("a", "b", "c"))
@@ -149,8 +149,8 @@
 
 
 @pytest.mark.parametrize("more, code", [("nmae = 1", "fleet-config"), ("", "fleet-key")])
-def test_what_cannot_be_used_is_named(fleet, more, code):
+def test_invalid_configurations_and_keys_are_named(fleet, more, code):
     fleet.write_keys("keys", [] if code == "fleet-key" else KEYS[:1])
     fleet.start("a", more=more)
-    assert fleet.running["a"].wait(WITHIN) == 2
+    assert fleet.running["a"].wait(TIMEOUT) == 2
     assert fleet.log("a").startswith(f"aspenrill: {code}: ")
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -1,4 +1,4 @@
-"""The fleet's service on the hub: effects in order, what parts are told, keys, names, front ends in it."""
+"""The fleet service on the hub: effects, component calls, keys, name conflicts, front ends."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from aspenrill.core import books
 from aspenrill.errors import DiskTrouble, FleetConfigTrouble, KeyTrouble, StateTrouble
 from aspenrill.fleet import config, joining
-from aspenrill.fleet.durable import Durable
+from aspenrill.fleet.durable import DurableStore
 from aspenrill.fleet.interface import Agreed, Inform, Note, Post, Put, Store
-from aspenrill.fleet.service import Limited, Service
+from aspenrill.fleet.service import RateLimitedLog, Service
 from aspenrill.net.hub import Hub
 from aspenrill.node import ConfigError
 
-WITHIN = 20.0
+TIMEOUT = 20.0  # seconds
 
 
-class Part:
-    """Notes what it is told; answers with what the test has laid ready under the call's name."""
+class FakeComponent:
+    """Records its calls and returns the answers that the test has set for each method."""
 
     def __init__(self, name: str = "part", **answers) -> None:
         self.name, self.topics, self.period, self.kinds = name, ("topic",), 0.05, ("split",)
@@ -48,7 +48,7 @@
 
 
 class World:
-    """Services on one hub, which runs until a scene has ended."""
+    """Services on one hub, which runs until a scenario has ended."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.lines = folder, []
@@ -77,14 +77,16 @@
         found.check()
         return found
 
-    def service(self, name: str, *parts: Part, inform=lambda part, fact: None, **more) -> Service:
-        service = Service(self.hub, self.config(name, **more), parts, inform)
+    def service(
+        self, name: str, *components: FakeComponent, inform=lambda part, fact: None, **more
+    ) -> Service:
+        service = Service(self.hub, self.config(name, **more), components, inform)
         self.services.append(service)
         service.start()
         return service
 
     def until(self, holds: Callable[[], object]) -> None:
-        end = time.monotonic() + WITHIN
+        end = time.monotonic() + TIMEOUT
         while not holds():
             assert time.monotonic() < end, self.lines
             self.hub.sleep(0.02)
@@ -113,8 +115,8 @@
     return World(tmp_path)
 
 
-def test_parts_hear_of_each_other(world):
-    a, b = Part(on_start=[Put("topic", b"hello"), Store("k", b"v")]), Part()
+def test_components_receive_entries_messages_and_members(world):
+    a, b = FakeComponent(on_start=[Put("topic", b"hello"), Store("k", b"v")]), FakeComponent()
     facts = []
 
     def scene():
@@ -132,7 +134,7 @@
         one.leave()
         world.until(lambda: [m for (m,) in b.of("on_member") if m.name == "a" and not m.there])
         assert len(a.of("on_leave")) == 1
-        again = Part()
+        again = FakeComponent()
         world.services[0] = world.service("a", again)
         assert again.of("on_start")[0][1] == {"k": b"v"}
         assert world.services[0].view.incarnation > one.view.incarnation
@@ -140,9 +142,9 @@
     world.run(scene)
 
 
-def test_what_could_not_be_stored_ends_its_call_only(world):
+def test_a_failed_store_ends_only_its_call(world):
     def scene():
-        part = Part(on_tick=[Note("before"), Store("k", b"v"), Note("behind")])
+        part = FakeComponent(on_tick=[Note("before"), Store("k", b"v"), Note("behind")])
         service = world.service("a", part)
         keep, service.store.put = service.store.put, refuse
         world.until(lambda: part.of("on_disk"))
@@ -157,15 +159,15 @@
     world.run(scene)
 
 
-def test_records_of_the_authority_go_to_those_that_follow_their_kind(world):
+def test_committed_records_go_to_the_followers_of_their_kind(world):
     record, other = Agreed(1, 1, "split", "k", b""), Agreed(2, 1, "else", "k", b"")
     facts = []
 
     def scene():
-        follower = Part("follower")
+        follower = FakeComponent("follower")
         world.service(
             "a",
-            Part("authority", on_start=[Inform(record), Inform(other)]),
+            FakeComponent("authority", on_start=[Inform(record), Inform(other)]),
             follower,
             inform=lambda *fact: facts.append(fact),
         )
@@ -174,22 +176,22 @@
     world.run(scene)
 
 
-def test_a_fault_of_a_part_ends_that_call_and_is_told(world):
+def test_an_exception_of_a_component_ends_that_call_and_is_logged(world):
     def scene():
-        other = Part("other", on_tick=[Put("t", b"x" * 601)])
-        service = world.service("a", Part(on_tick=lambda: 1 / 0), other)
+        other = FakeComponent("other", on_tick=[Put("t", b"x" * 601)])
+        service = world.service("a", FakeComponent(on_tick=lambda: 1 / 0), other)
         world.until(lambda: service.faults > 3)
         assert any("ZeroDivisionError" in line for line in world.lines)
         world.lines[:] = []
-        service.parts[0].answers.clear()
-        service.parts[1].answers.clear()
+        service.components[0].answers.clear()
+        service.components[1].answers.clear()
         world.hub.sleep(0.2)
         world.lines[:] = [line for line in world.lines if "ZeroDivision" not in line and "601" not in line]
 
     world.run(scene)
 
 
-def test_keys_change_without_a_gap_and_foreign_ones_change_nothing(world):
+def test_keys_rotate_without_downtime_and_foreign_keys_are_rejected(world):
     def scene():
         a, b = world.service("a"), world.service("b")
         world.until(lambda: len(a.view.members()) == len(b.view.members()) == 2)
@@ -204,8 +206,8 @@
         stranger = world.service("c")
         world.until(lambda: a.peers.refused["key"])
         assert len(stranger.view.members()) == 1 and len(a.view.members()) == 2
-        said = "fleet refused key: 1 so far: key, from 127.0.0.1:"
-        assert any(line.startswith(said) for line in world.lines)
+        expected = "fleet refused key: 1 so far: key, from 127.0.0.1:"
+        assert any(line.startswith(expected) for line in world.lines)
         with pytest.raises(KeyTrouble):
             world.keys("no hex")
             a.reload(world.config("a"))
@@ -215,13 +217,13 @@
     world.run(scene)
 
 
-def test_two_of_one_name_on_one_hub(world):
+def test_two_processes_with_one_name(world):
     def scene():
-        part = Part()
+        part = FakeComponent()
         world.service("seed")
         elder = world.service("a")
         world.until(lambda: len(elder.view.members()) == 2)
-        world.hub.sleep(0.01)  # the younger one's incarnation is of a later millisecond
+        world.hub.sleep(0.01)  # so that the younger one's incarnation is higher
         younger = world.service("a", part, state=str(world.folder / "other"))
         world.until(lambda: younger.fenced)
         ticks = len(part.of("on_tick"))
@@ -233,22 +235,22 @@
     world.run(scene)
 
 
-def test_a_folder_is_one_processs_and_a_port_too(world):
+def test_a_state_folder_and_a_port_are_exclusive(world):
     def scene():
         taken = world.service("a")
         with pytest.raises(OSError) as why:
             world.service("b", listen="127.0.0.1:{}".format(*taken.address[1:]))
         assert why.value.errno == errno.EADDRINUSE
         with pytest.raises(FleetConfigTrouble, match="another process"):
-            Durable(world.folder / "a")
-        Durable(world.folder / "b").close()  # the one that could not listen holds nothing
+            DurableStore(world.folder / "a")
+        DurableStore(world.folder / "b").close()  # the one that could not listen has released its lock
 
     world.run(scene)
 
 
-def test_a_log_of_bounded_length():
+def test_the_log_is_rate_limited():
     now, lines = [0.0], []
-    log = Limited(lines.append, lambda: now[0])
+    log = RateLimitedLog(lines.append, lambda: now[0])
     for number in range(100):
         log("part", str(number), 3)
     assert lines == ["fleet part: 0", "fleet part: 1", "fleet part: 2"]
@@ -261,7 +263,7 @@
 
 
 @pytest.mark.parametrize("may", [True, False])
-def test_modules_tell_each_other_where_they_may(world, may):
+def test_decision_modules_broadcast_if_enabled(world, may):
     def node() -> SimpleNamespace:
         heard = []
         settings = SimpleNamespace(classes=(), may_tell=may)
@@ -297,7 +299,7 @@
     world.run(scene)
 
 
-def test_the_owner_hands_on_what_the_module_tells():
+def test_the_owner_passes_on_broadcasts():
     from aspenrill import api
     from aspenrill.core.owner import Owner
 
@@ -313,17 +315,17 @@
     assert told == [b"x"] and heard == [api.PeerMessage(3, b"y")]
 
 
-def test_a_platform_node_imports_nothing_of_it():
+def test_a_platform_node_does_not_import_the_fleet():
     code = (
         "import sys; from aspenrill import start, node; print(node._fleet(None, None, node.FLEET_FILE)); "
         "print([m for m in sys.modules if 'aspenrill.fleet' in m or m in ('msgspec', 'sqlite3')])"
     )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    assert out.splitlines()[1] == "[]" and "lambda" in out  # what it gives does nothing
+    assert out.splitlines()[1] == "[]" and "lambda" in out  # the returned function does nothing
     assert config.read_file("deploy/fleet.toml").voters == ("front-1", "front-2", "front-3")
 
 
-def test_a_damaged_state_is_named(world):
+def test_a_damaged_state_file_is_named(world):
     (world.folder / "a").mkdir()
     (world.folder / "a" / "fleet.sqlite3").write_bytes(b"this is no database" * 99)
     with pytest.raises(StateTrouble) as why:
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -11,7 +11,7 @@
 
 from aspenrill.errors import DiskTrouble, FleetConfigTrouble, KeyTrouble, StateTrouble, WireTrouble
 from aspenrill.fleet import config
-from aspenrill.fleet.durable import FILE, Durable
+from aspenrill.fleet.durable import DATABASE_FILE, DurableStore
 from aspenrill.fleet.interface import Place, State
 from aspenrill.fleet.peers import wire
 from aspenrill.fleet.peers.detector import Pace
@@ -305,15 +305,15 @@
 
 
 def test_stored_records_survive_a_restart(tmp_path):
-    store = Durable(tmp_path / "s")
+    store = DurableStore(tmp_path / "s")
     store.put("p", "k", b"1")
     store.put("p", "k", b"2")
     store.put("p", "l", b"3")
     store.put("p", "l", None)
     store.close()
-    store = Durable(tmp_path / "s")
+    store = DurableStore(tmp_path / "s")
     assert store.records("p") == {"k": b"2"} and store.records("q") == {}
-    store._db.execute("PRAGMA max_page_count=1")
+    store._database.execute("PRAGMA max_page_count=1")
     with pytest.raises(DiskTrouble, match="full"):
         for number in range(100):
             store.put("p", str(number), b"x" * 600)
@@ -324,27 +324,27 @@
     "offset, content", [(0, b"no database at all, but long enough"), (4096, b"\xff" * 4096)]
 )
 def test_a_damaged_database_is_rejected(tmp_path, offset, content):
-    store = Durable(tmp_path)
+    store = DurableStore(tmp_path)
     for number in range(200):
         store.put("p", str(number), b"x" * 200)
     store.close()
-    with open(tmp_path / FILE, "r+b") as file:
+    with open(tmp_path / DATABASE_FILE, "r+b") as file:
         file.seek(offset)
         file.write(content)
-    with pytest.raises(StateTrouble, match=FILE):
-        Durable(tmp_path)
-    (tmp_path / FILE).unlink()
-    Durable(tmp_path).close()  # the rejected database is closed
+    with pytest.raises(StateTrouble, match=DATABASE_FILE):
+        DurableStore(tmp_path)
+    (tmp_path / DATABASE_FILE).unlink()
+    DurableStore(tmp_path).close()  # the rejected database is closed
 
 
 def test_a_damaged_record_in_a_valid_database_is_detected(tmp_path):
-    store = Durable(tmp_path)
+    store = DurableStore(tmp_path)
     store.put("p", "k", b"promise 7")
     store.close()
-    path = tmp_path / FILE
+    path = tmp_path / DATABASE_FILE
     path.write_bytes(path.read_bytes().replace(b"promise 7", b"promise 5"))
     with pytest.raises(StateTrouble, match="record k of p"):
-        Durable(tmp_path)
+        DurableStore(tmp_path)
 
 
 GOOD = 'name = "a"\nkey_file = "k"\nstate = "s"\n'
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""The relay on real sockets, and the draws behind it."""
+"""The relay on real sockets, and the random link model behind it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Ends:
-    """Three processes' sockets, and the relay between them."""
+    """The sockets of three processes and the relay between them."""
 
     def __init__(self, seed: int = 1) -> None:
         self.relay = Relay(seed)
@@ -40,7 +40,7 @@
         return near, far
 
     def counted(self, what: str, number: int) -> dict:
-        """The relay has seen so many."""
+        """Wait until a counter of the relay has reached a number; return all counters."""
         end = time.monotonic() + 20
         while (counts := self.relay.counts()).get(what, 0) < number:
             assert time.monotonic() < end, counts
@@ -67,10 +67,10 @@
     assert found.relay.process.returncode == 0
 
 
-def test_a_datagram_comes_from_its_senders_front_door(ends):
+def test_a_datagram_arrives_from_its_senders_relay_address(ends):
     ends.send("a", "b", b"one")
     assert ends.udp["b"].recvfrom(100) == (b"one", ends.doors["a"])
-    ends.udp["b"].sendto(b"two", ends.doors["a"])  # an answer to the source goes to it
+    ends.udp["b"].sendto(b"two", ends.doors["a"])  # an answer to the source address reaches the sender
     assert ends.udp["a"].recvfrom(100) == (b"two", ends.doors["b"])
 
 
@@ -86,7 +86,7 @@
     assert ends.udp["b"].recv(100) == b"whole"
 
 
-def test_a_partition_takes_another_shape(ends):
+def test_a_partition_can_be_changed(ends):
     for shape, cut in ((("a", "b"), "ab"), (("a,b",), "bc")):
         ends.relay("part", *shape)
         ends.send(*cut, b"over")
@@ -95,7 +95,7 @@
     assert ends.udp["b"].recv(100) == b"same side"
 
 
-def test_loss_repeats_and_delay(ends):
+def test_loss_repetition_and_delay(ends):
     ends.relay("link", "a", "*", "loss=0.3", "repeat=0.5")
     for number in range(200):
         ends.send("a", "b", bytes([number]))
@@ -109,7 +109,7 @@
     assert ends.udp["b"].recv(100) == b"late" and time.monotonic() - began >= 0.3
 
 
-def test_datagrams_overtake_each_other(ends):
+def test_datagrams_are_reordered(ends):
     ends.relay("link", "a", "b", "jitter_ms=300")
     for number in range(50):
         ends.send("a", "b", bytes([number]))
@@ -117,7 +117,7 @@
     assert sorted(came) == list(range(50)) != came
 
 
-def test_a_stream_comes_whole_over_loss_and_waits_at_a_cut(ends):
+def test_a_stream_survives_loss_and_waits_at_a_cut(ends):
     near, far = ends.connect("a", "b")
     ends.relay("link", "a", "b", "loss=0.2", "jitter_ms=5", "delay_ms=5")
     sent = random.Random(1).randbytes(1_000_000)
@@ -141,7 +141,7 @@
     near.close()
 
 
-def test_a_connection_over_a_cut_comes_when_it_is_healed(ends):
+def test_a_connection_over_a_cut_is_accepted_after_healing(ends):
     ends.relay("cut", "*", "b")
     near = socket.create_connection(ends.doors["b"], 10, (ends.hosts["a"], 0))
     ends.tcp["b"].settimeout(0.2)
@@ -154,7 +154,7 @@
     far.close()
 
 
-def test_a_slow_link_takes_its_time(ends):
+def test_a_rate_limit_delays_a_stream(ends):
     near, far = ends.connect("a", "b")
     ends.relay("link", "a", "b", "rate=100000")
     began = time.monotonic()
@@ -167,7 +167,7 @@
     far.close()
 
 
-def test_who_is_not_there_refuses(ends):
+def test_a_closed_receiver_refuses_connections(ends):
     ends.tcp["b"].close()
     near = socket.create_connection(ends.doors["b"], 10, (ends.hosts["a"], 0))
     with near:
@@ -177,14 +177,14 @@
             pass
 
 
-def test_strangers_are_not_let_through(ends):
-    stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    stranger.sendto(b"hello", ends.doors["b"])
+def test_unknown_senders_are_dropped(ends):
+    unknown = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    unknown.sendto(b"hello", ends.doors["b"])
     assert ends.counted("stranger", 1) and ends.silent("b")
     with socket.create_connection(ends.doors["b"], 10) as near:
         near.settimeout(10)
         assert near.recv(10) == b""
-    stranger.close()
+    unknown.close()
 
 
 @pytest.mark.parametrize(
@@ -203,14 +203,14 @@
         "heal a",
     ],
 )
-def test_commands_that_are_none_change_nothing(ends, line):
+def test_invalid_commands_change_nothing(ends, line):
     with pytest.raises(ValueError):
         ends.relay(*line.split())
     ends.send("a", "b", b"well")
     assert ends.udp["b"].recv(100) == b"well"
 
 
-# ---- draws --------------------------------------------------------------------------------------------
+# ---- the link model ------------------------------------------------------------------------------------
 
 
 def fates(seed: int, **ab: float) -> list[list[float]]:
@@ -223,15 +223,15 @@
     return found
 
 
-def test_a_seed_draws_the_same_and_links_do_not_disturb_each_other():
+def test_a_seed_is_reproducible_and_links_are_independent():
     assert fates(1) == fates(1, loss=0.9, jitter_ms=3) != fates(2)
     one, other = Weather(1, Link(jitter_ms=10)), Weather(1, Link(loss=0.5, jitter_ms=10))
     delays = [one.fate(0.0, "a", "b", 1) for _ in range(100)]
     kept = [fate for fate in (other.fate(0.0, "a", "b", 1) for _ in range(100)) if fate]
-    assert kept == delays[: len(kept)]  # what is lost takes no delay from the others
+    assert kept == delays[: len(kept)]  # losses draw no delays
 
 
-def test_a_slow_link_loses_what_would_wait_too_long():
+def test_a_rate_limited_link_drops_what_would_wait_too_long():
     weather = Weather(1, Link(rate=1000))
     came = [weather.fate(0.0, "a", "b", 500) for _ in range(10)]
     assert [fate[0] for fate in came if fate] == [0.5, 1.0, 1.5, 2.0] and came[4:] == [[]] * 6
