--- a/aspenrill/fleet/authority/__init__.py
+++ b/aspenrill/fleet/authority/__init__.py
@@ -1,5 +1,7 @@
-"""One coordinator at a time, and a log that a majority of the voters holds.
-docs/design/together-authority.md."""
+"""Coordinator election by majority leases, and a replicated log stored by a majority of the voters.
+
+Design: docs/design/together-authority.md.
+"""
 
 from .part import NAME, AuthorityPart
 from .rules import Rules
--- a/aspenrill/fleet/authority/election.py
+++ b/aspenrill/fleet/authority/election.py
@@ -1,7 +1,8 @@
-"""How a voter comes to coordinate: it stands once it knows of no lease, after a random delay, first sounds
-out whether a majority would grant (Ongaro, "Consensus", 2014, 9.6: who cannot win disturbs nobody), then
-asks in earnest, then reads the log of a majority. Who fails ends its own leases at once and waits a little
-longer.
+"""Coordinator election of one voter.
+
+A voter that knows of no running lease becomes a candidate after a random delay. It runs a pre-vote first
+(Ongaro, "Consensus", 2014, 9.6: a candidate that cannot win disturbs nobody), then requests leases, then
+reads the log of a majority. A failed candidate releases its leases at once and waits longer next time.
 """
 
 from __future__ import annotations
@@ -9,231 +10,298 @@
 import random
 
 from ..interface import Effect, Note
+from .leadership import Leadership
 from .rules import Rules
-from .tenure import Tenure
 from .voter import Voter
-from .wire import Admit, Admitted, Ask, Nothing, Promise, Read, Release, Tail, Vote, post
+from .wire import (
+    Admission,
+    AdmissionRequest,
+    LeaseRequest,
+    LogTail,
+    NeverGranted,
+    Promise,
+    ReadLog,
+    Release,
+    Vote,
+    post,
+)
 
-HASTE = 0.3  # of the usual delay, where the coordinator has handed over
-ASK_AGAIN = 1.0  # seconds between two questions of a voter without a record
+HANDOVER_DELAY_FACTOR = 0.3  # fraction of the candidacy delay after a coordinator released its lease
+ADMISSION_RETRY = 1.0  # seconds between admission requests of a voter without stored state
 
 
 class Election:
-    """Of one voter. `tenure` is the epoch that it asks for or coordinates in."""
+    """Election state of one voter. `leadership` is the epoch that it runs for or coordinates in."""
 
     def __init__(
-        self, rules: Rules, name: str, life: int, voter: Voter, rng: random.Random, now: float
+        self, rules: Rules, name: str, incarnation: int, voter: Voter, rng: random.Random, now: float
     ) -> None:
-        self.rules, self.name, self.life, self.voter, self.rng = rules, name, life, voter, rng
+        self.rules, self.name, self.incarnation, self.voter, self.rng = rules, name, incarnation, voter, rng
         self.others = [other for other in rules.voters if other != name]
-        self.tenure: Tenure | None = None
-        self.stand_at: float | None = None
-        self.failures = 0
-        self.again_at = now  # next round, or next reading
-        self.seen = 0  # highest epoch that anybody has promised
-        self.ripe_at = now + rules.hold(rules.lease)  # what a former life may have granted is over
-        self.blank: set[str] = set()  # voters that never granted anything, as they have told this life
+        self.leadership: Leadership | None = None
+        self.candidacy_at: float | None = None
+        self.failed_elections = 0
+        self.next_round_at = now  # when the next round of requests is due
+        self.highest_epoch = 0  # highest epoch that anybody has promised
+        # when leases granted by an earlier incarnation have expired
+        self.grants_expired_at = now + rules.grantor_duration(rules.lease)
+        # voters that reported to this incarnation that they never granted a lease
+        self.blank_voters: set[str] = set()
         self.leaving = False
 
-    # ---- standing -------------------------------------------------------------------------------------
+    # ---- candidacy ------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Effect]:
-        """One step on, where one is due."""
+        """Takes the next step of the election or of the leadership, if one is due."""
         if self.voter.promise is None:
-            return self._without_record(now)
-        if self.tenure is None:
-            return self._stand(now)
-        tenure = self.tenure
-        if tenure.won_at is not None and not tenure.holds(now):
-            return self.end(now, f"authority: epoch {tenure.epoch}: the lease of the majority is over")
-        if tenure.won_at is None and (now >= tenure.asked_at + self.rules.patience or tenure.hopeless):
+            return self._tick_blank(now)
+        if self.leadership is None:
+            return self._consider_candidacy(now)
+        leadership = self.leadership
+        if leadership.won_at is not None and not leadership.holds_lease(now):
+            return self.release_lease(
+                now, f"authority: epoch {leadership.epoch}: the majority lease has expired"
+            )
+        if leadership.won_at is None and (
+            now >= leadership.requested_at + self.rules.election_timeout or leadership.cannot_win
+        ):
             return self.fail(now)
-        if now >= self.again_at:
-            return self.ask(now)
+        if now >= self.next_round_at:
+            return self.send_round(now)
         return []
 
-    def _stand(self, now: float) -> list[Effect]:
-        if self.leaving or not self.voter.free(now):
-            self.stand_at = None
+    def _consider_candidacy(self, now: float) -> list[Effect]:
+        if self.leaving or not self.voter.is_unleased(now):
+            self.candidacy_at = None
             return []
-        if self.stand_at is None:
-            self.stand_at = now + self.rng.uniform(0, self.rules.spread)
-        if now < self.stand_at:
+        if self.candidacy_at is None:
+            self.candidacy_at = now + self.rng.uniform(0, self.rules.election_delay)
+        if now < self.candidacy_at:
             return []
         self.campaign(now)
-        return self.ask(now)
+        return self.send_round(now)
 
     def campaign(self, now: float) -> None:
-        """From the start: sounding out."""
-        self.tenure = Tenure(self.rules, self.life, self._above_all(), now)
-        self.stand_at = None
-
-    def _above_all(self) -> int:
-        self.seen = max(self.seen, self.voter.promise.epoch, self.voter.released)
-        return self.seen + 1
-
-    def ask(self, now: float) -> list[Effect]:
-        """One round to all voters, itself the first: its own promise is on disk before the others hear."""
-        tenure, rules = self.tenure, self.rules
-        self.again_at = now + (rules.retry if tenure.won_at is None else rules.renew)
-        ask = Ask(
-            tenure.epoch,
-            self.life,
-            tenure.next_round(now),
+        """Starts a pre-vote."""
+        self.leadership = Leadership(self.rules, self.incarnation, self._next_epoch(), now)
+        self.candidacy_at = None
+
+    def _next_epoch(self) -> int:
+        self.highest_epoch = max(self.highest_epoch, self.voter.promise.epoch, self.voter.released_epoch)
+        return self.highest_epoch + 1
+
+    def send_round(self, now: float) -> list[Effect]:
+        """Sends one round of lease requests to all voters.
+
+        Its own vote comes first, so its promise is on disk before the requests go out.
+        """
+        leadership, rules = self.leadership, self.rules
+        self.next_round_at = now + (rules.retry_interval if leadership.won_at is None else rules.renew)
+        request = LeaseRequest(
+            leadership.epoch,
+            self.incarnation,
+            leadership.next_round(now),
             rules.lease,
-            tenure.sounding,
+            leadership.pre_voting,
             self.voter.table.last,
         )
-        effects = self._vote_for_itself(now, ask)
-        if not tenure.said[self.name].granted:
+        effects = self._vote_for_self(now, request)
+        if not leadership.votes[self.name].granted:
             return self.fail(now)
-        effects += [post(other, ask) for other in self.others]
+        effects += [post(other, request) for other in self.others]
         return effects + self._advance(now)
 
-    def _vote_for_itself(self, now: float, ask: Ask) -> list[Effect]:
+    def _vote_for_self(self, now: float, request: LeaseRequest) -> list[Effect]:
         before = self.voter.promise
-        granted, effects = self.voter.ask(now, self.name, self.life, ask)
-        vote = Vote(ask.epoch, self.life, ask.round, ask.sound, granted, before.epoch)
-        self.tenure.voted(now, self.name, vote)
-        if granted and not ask.sound and self.tenure.won_at is None:
-            self._read_own()
+        granted, effects = self.voter.request_lease(now, self.name, self.incarnation, request)
+        vote = Vote(request.epoch, self.incarnation, request.round, request.pre_vote, granted, before.epoch)
+        self.leadership.record_vote(now, self.name, vote)
+        if granted and not request.pre_vote and self.leadership.won_at is None:
+            self._record_own_tail()
         return effects
 
-    def _read_own(self) -> None:
-        voter, tenure = self.voter, self.tenure
+    def _record_own_tail(self) -> None:
+        voter, leadership = self.voter, self.leadership
         entries = [voter.tail[number] for number in sorted(voter.tail)]
-        tenure.read(
-            self.name, Tail(tenure.epoch, self.life, voter.table.last, voter.end, entries), voter.table.last
+        leadership.record_tail(
+            self.name,
+            LogTail(leadership.epoch, self.incarnation, voter.table.last, voter.last_accepted, entries),
+            voter.table.last,
         )
 
     def _advance(self, now: float) -> list[Effect]:
-        """From sounding to asking once a majority would grant; to those that have granted: what have they?"""
-        tenure = self.tenure
-        if tenure.sounding:
-            if tenure.granted < self.rules.majority:
+        """Goes from the pre-vote to lease requests once a majority would grant.
+
+        After that, reads the logs of the voters that have granted.
+        """
+        leadership = self.leadership
+        if leadership.pre_voting:
+            if leadership.granted_count < self.rules.majority:
                 return []
-            tenure.asking(now, self._above_all())
-            return self.ask(now)
-        if tenure.won_at is not None:
+            leadership.start_lease_requests(now, self._next_epoch())
+            return self.send_round(now)
+        if leadership.won_at is not None:
             return []
-        unread = [other for other in self.others if other in tenure.ends and other not in tenure.whole]
-        return [self.question(other) for other in unread]
+        unread = [
+            other
+            for other in self.others
+            if other in leadership.lease_ends and other not in leadership.fully_read
+        ]
+        return [self.read_request(other) for other in unread]
 
-    def question(self, other: str) -> Effect:
-        cursor = self.tenure.cursor(other, self.voter.table.last)
-        return post(other, Read(self.tenure.epoch, self.life, cursor))
+    def read_request(self, other: str) -> Effect:
+        """Requests the part of a voter's log that was not read yet."""
+        after = self.leadership.read_to(other, self.voter.table.last)
+        return post(other, ReadLog(self.leadership.epoch, self.incarnation, after))
 
     def fail(self, now: float) -> list[Effect]:
-        """No majority in time: nobody is to wait for what it was granted."""
-        self.failures += 1
-        effects = self.end(now, "")
-        self.stand_at = now + self.rng.uniform(0, 1) * self.rules.spread * 2 ** min(self.failures, 3)
+        """Gives up the election; releases granted leases so that no voter waits for them."""
+        self.failed_elections += 1
+        effects = self.release_lease(now, "")
+        self.candidacy_at = now + self.rng.uniform(0, 1) * self.rules.election_delay * 2 ** min(
+            self.failed_elections, 3
+        )
         return effects
 
-    def end(self, now: float, why: str) -> list[Effect]:
-        """It uses its lease no more, from this moment on, and then says so."""
-        tenure, self.tenure = self.tenure, None
-        if tenure is None:
+    def release_lease(self, now: float, reason: str) -> list[Effect]:
+        """Stops using the lease from this moment on, and announces the release."""
+        leadership, self.leadership = self.leadership, None
+        if leadership is None:
             return []
-        effects: list[Effect] = [Note(why)] if why else []
-        if tenure.sounding:
+        effects: list[Effect] = [Note(reason)] if reason else []
+        if leadership.pre_voting:
             return effects
-        release = Release(tenure.epoch, self.life)
-        self.voter.release(now, self.name, self.life, release)
+        release = Release(leadership.epoch, self.incarnation)
+        self.voter.release(now, self.name, self.incarnation, release)
         return effects + [post(other, release) for other in self.others]
 
     # ---- messages -------------------------------------------------------------------------------------
 
-    def on_ask(self, now: float, sender: str, incarnation: int, ask: Ask) -> list[Effect]:
-        if ask.life != incarnation:
+    def on_lease_request(
+        self, now: float, sender: str, incarnation: int, request: LeaseRequest
+    ) -> list[Effect]:
+        if request.incarnation != incarnation:
             return []
         given_up: list[Effect] = []
-        mine = self.tenure
-        if mine is not None and mine.won_at is None and not ask.sound and ask.epoch > mine.epoch:
-            given_up = self.end(now, "")  # of two that stand at once, the higher epoch goes on
+        current = self.leadership
+        if (
+            current is not None
+            and current.won_at is None
+            and not request.pre_vote
+            and request.epoch > current.epoch
+        ):
+            given_up = self.release_lease(now, "")  # of two candidates, the higher epoch continues
         promised = self.voter.promise.epoch if self.voter.promise is not None else 0
-        granted, effects = self.voter.ask(now, sender, incarnation, ask)
+        granted, effects = self.voter.request_lease(now, sender, incarnation, request)
         effects += given_up
-        if granted and not ask.sound:
-            self.stand_at, self.failures = None, 0
-            effects += self.end(now, "")  # sounding, or long over: its own voter has promised another
-        return effects + [post(sender, Vote(ask.epoch, ask.life, ask.round, ask.sound, granted, promised))]
+        if granted and not request.pre_vote:
+            self.candidacy_at, self.failed_elections = None, 0
+            # a pre-vote or an expired leadership: its own voter has promised another process
+            effects += self.release_lease(now, "")
+        return effects + [
+            post(
+                sender,
+                Vote(request.epoch, request.incarnation, request.round, request.pre_vote, granted, promised),
+            )
+        ]
 
     def on_vote(self, now: float, sender: str, incarnation: int, vote: Vote) -> list[Effect]:
-        tenure = self.tenure
-        if vote.life != self.life:
+        leadership = self.leadership
+        if vote.incarnation != self.incarnation:
             return []
-        self.seen = max(self.seen, vote.promised)
-        if tenure is None or vote.epoch != tenure.epoch or not tenure.counts(sender, incarnation):
+        self.highest_epoch = max(self.highest_epoch, vote.promised)
+        if (
+            leadership is None
+            or vote.epoch != leadership.epoch
+            or not leadership.is_valid_voter(sender, incarnation)
+        ):
             return []
-        tenure.voted(now, sender, vote)
-        if not vote.granted and vote.promised >= tenure.epoch and not tenure.sounding:
-            return self._deaf(now, vote)
+        leadership.record_vote(now, sender, vote)
+        if not vote.granted and vote.promised >= leadership.epoch and not leadership.pre_voting:
+            return self._on_higher_promise(now, vote)
         return self._advance(now)
 
-    def _deaf(self, now: float, vote: Vote) -> list[Effect]:
-        """A voter has promised as high an epoch to another process, and is deaf to this one: it takes one
-        above that. Where it coordinates, the other has not won, so it may stand again at once."""
-        if self.tenure.won_at is None:
+    def _on_higher_promise(self, now: float, vote: Vote) -> list[Effect]:
+        """A voter has promised an equal or higher epoch to another process and ignores this one.
+
+        Only a higher epoch helps. If this process coordinates, the other has not won, so it may become a
+        candidate again at once.
+        """
+        if self.leadership.won_at is None:
             return self.fail(now)
-        why = f"authority: epoch {self.tenure.epoch}: a voter has promised {vote.promised}"
-        effects = self.end(now, why)
-        self.stand_at = now
+        reason = f"authority: epoch {self.leadership.epoch}: a voter has promised epoch {vote.promised}"
+        effects = self.release_lease(now, reason)
+        self.candidacy_at = now
         return effects
 
     def on_release(self, now: float, sender: str, incarnation: int, release: Release) -> list[Effect]:
-        if release.life == incarnation and self.voter.release(now, sender, incarnation, release):
-            self.stand_at = now + self.rng.uniform(0, HASTE * self.rules.spread)
+        if release.incarnation == incarnation and self.voter.release(now, sender, incarnation, release):
+            self.candidacy_at = now + self.rng.uniform(0, HANDOVER_DELAY_FACTOR * self.rules.election_delay)
         return []
 
-    def on_read(self, now: float, sender: str, incarnation: int, read: Read) -> list[Effect]:
-        if read.life != incarnation or not self.voter.accepts(sender, incarnation, read.epoch):
+    def on_read_log(self, now: float, sender: str, incarnation: int, read: ReadLog) -> list[Effect]:
+        if read.incarnation != incarnation or not self.voter.has_promised_to(sender, incarnation, read.epoch):
             return []
-        return [post(sender, self.voter.read(read.after))] if self.voter.promise is not None else []
+        return [post(sender, self.voter.read_tail(read.after))] if self.voter.promise is not None else []
 
-    def on_tail(self, now: float, sender: str, incarnation: int, tail: Tail) -> list[Effect]:
-        tenure = self.tenure
-        if tenure is None or tenure.won_at is not None or not tenure.counts(sender, incarnation):
+    def on_log_tail(self, now: float, sender: str, incarnation: int, tail: LogTail) -> list[Effect]:
+        leadership = self.leadership
+        if (
+            leadership is None
+            or leadership.won_at is not None
+            or not leadership.is_valid_voter(sender, incarnation)
+        ):
             return []
-        before = tenure.cursor(sender, self.voter.table.last)
-        tenure.read(sender, tail, self.voter.table.last)
-        if sender in tenure.whole or tenure.cursor(sender, self.voter.table.last) == before:
+        before = leadership.read_to(sender, self.voter.table.last)
+        leadership.record_tail(sender, tail, self.voter.table.last)
+        if sender in leadership.fully_read or leadership.read_to(sender, self.voter.table.last) == before:
             return []
-        return [self.question(sender)]
+        return [self.read_request(sender)]
 
-    # ---- voters without a record of former lives ------------------------------------------------------
+    # ---- voters without stored state ------------------------------------------------------------------
 
-    def _without_record(self, now: float) -> list[Effect]:
-        if len(self.blank) == len(self.others):
-            return self.voter.begin()
-        if now < self.again_at:
+    def _tick_blank(self, now: float) -> list[Effect]:
+        if len(self.blank_voters) == len(self.others):
+            return self.voter.start_blank()
+        if now < self.next_round_at:
             return []
-        self.again_at = now + (ASK_AGAIN if self.voter.joining is None else self.rules.lease)
-        return [post(other, Admit(self.life, now >= self.ripe_at)) for other in self.others]
+        self.next_round_at = now + (
+            ADMISSION_RETRY if self.voter.pending_promise is None else self.rules.lease
+        )
+        return [
+            post(other, AdmissionRequest(self.incarnation, now >= self.grants_expired_at))
+            for other in self.others
+        ]
 
-    def on_admit(self, now: float, sender: str, incarnation: int, admit: Admit) -> list[Effect]:
-        if admit.life != incarnation:
+    def on_admission_request(
+        self, now: float, sender: str, incarnation: int, request: AdmissionRequest
+    ) -> list[Effect]:
+        if request.incarnation != incarnation:
             return []
         if self.voter.promise is None or self.voter.promise == Promise():
-            return [post(sender, Nothing(admit.life))]
-        tenure = self.tenure
-        if tenure is None or not admit.ripe:
+            return [post(sender, NeverGranted(request.incarnation))]
+        leadership = self.leadership
+        if leadership is None or not request.grants_expired:
             return []
-        tenure.lost_disk(sender, incarnation)
-        if tenure.won_at is None or not tenure.holds(now):
+        leadership.forget_voter(sender, incarnation)
+        if leadership.won_at is None or not leadership.holds_lease(now):
             return []
-        last, end = self.voter.table.last, self.voter.end
-        return [post(sender, Admitted(admit.life, tenure.epoch, self.life, last, end))]
-
-    def on_nothing(self, now: float, sender: str, nothing: Nothing) -> list[Effect]:
-        if nothing.life == self.life and self.voter.promise is None:
-            self.blank.add(sender)
-            if len(self.blank) == len(self.others):
-                return self.voter.begin()
+        last, end = self.voter.table.last, self.voter.last_accepted
+        return [post(sender, Admission(request.incarnation, leadership.epoch, self.incarnation, last, end))]
+
+    def on_never_granted(self, now: float, sender: str, answer: NeverGranted) -> list[Effect]:
+        if answer.incarnation == self.incarnation and self.voter.promise is None:
+            self.blank_voters.add(sender)
+            if len(self.blank_voters) == len(self.others):
+                return self.voter.start_blank()
         return []
 
-    def on_admitted(self, now: float, sender: str, incarnation: int, admitted: Admitted) -> list[Effect]:
-        if admitted.life != self.life or admitted.mine != incarnation or now < self.ripe_at:
+    def on_admission(self, now: float, sender: str, incarnation: int, admission: Admission) -> list[Effect]:
+        if (
+            admission.incarnation != self.incarnation
+            or admission.coordinator_incarnation != incarnation
+            or now < self.grants_expired_at
+        ):
             return []
-        self.voter.admitted(sender, admitted)
-        return self.voter.join(now)
+        self.voter.on_admission(sender, admission)
+        return self.voter.join_if_caught_up(now)
--- a/aspenrill/fleet/authority/follow.py
+++ b/aspenrill/fleet/authority/follow.py
@@ -1,10 +1,10 @@
-"""How the log reaches every process: passed on down a tree, and fetched where something was missed.
+"""Distribution of the log to all processes: pushed down a tree, and fetched where something was missed.
 
-Each process sorts those that are there by place and name; voters are the roots, and each has at most FAN
-below it. What is new is passed on at once. The coordinator's board entry tells the last number to all; who
-is behind asks its parent, then voters and others at random, a bounded number of messages each time. Now and
-then each asks one other at random, so nothing rests on any single message. Records do not change once
-agreed, so it does not matter whom they come from, how late or how often.
+Each process sorts the running members by place and name. The voters are the roots, and each process has at
+most FANOUT children. New records are forwarded at once. The coordinator's gossip entry announces the last
+number to all. A process that is behind fetches from its parent, then from random voters and others, a bounded
+number of messages each time. Each process also polls a random one now and then, so that no single message is
+essential. Agreed records never change, so their source, delay and repetition do not matter.
 """
 
 from __future__ import annotations
@@ -13,120 +13,124 @@
 from bisect import bisect_left
 
 from ..interface import Effect, Post, View
-from .rules import MOST_ENDED, MOST_KEYS, Rules
+from .rules import MAX_KEYS, MAX_TOMBSTONES, Rules
 from .table import Change, Table
 from .wire import Chunk, Fetch, Record, post
 
-FAN = 8
-BURST = 8  # messages in answer to one question
-MOST_ANSWERS = 32  # questions answered between two ticks
-MOST_STAGED = 4 * (MOST_KEYS + MOST_ENDED)  # records of a whole table; some may be superseded while it comes
-PATIENT = 6  # questions without an answer before they become rarer
-SLOWEST = 2.0  # seconds between two questions by who stays behind
+FANOUT = 8  # children of each process in the tree
+MAX_CHUNKS_PER_REPLY = 8  # messages in answer to one fetch
+MAX_REPLIES_PER_TICK = 32  # fetches answered between two ticks
+# records of a complete table; some may be superseded during the transfer
+MAX_TRANSFER_RECORDS = 4 * (MAX_KEYS + MAX_TOMBSTONES)
+TRIES_BEFORE_BACKOFF = 6  # unanswered fetches before the interval grows
+MAX_FETCH_INTERVAL = 2.0  # upper bound of the fetch interval, in seconds
 
 
-class Follow:
-    """The table's ways in and out."""
+class LogFollower:
+    """Receives, fetches and forwards agreed records of the table."""
 
     def __init__(self, rules: Rules, table: Table, view: View, rng: random.Random, now: float) -> None:
         self.rules, self.table, self.view, self.rng = rules, table, view, rng
-        self.heard = 0  # highest number that somebody says is agreed
-        self.seen = 0  # highest epoch
-        self.pause = rules.retry
-        self.tries = 0
-        self.ask_at = now
-        self.poll_at = now + rng.uniform(0, rules.poll)
-        self.answers = 0
+        self.highest_agreed = 0  # highest number reported as agreed
+        self.highest_epoch = 0  # of any process
+        self.fetch_interval = rules.retry_interval
+        self.fetch_tries = 0
+        self.fetch_at = now
+        self.poll_at = now + rng.uniform(0, rules.poll_interval)
+        self.answered = 0
         self._tree: list[str] | None = None
-        self._stage: tuple[str, int, int] | None = None  # whole table: from whom, its floor, up to where
-        self._staged: list[Record] = []
-
-    def hear(self, now: float, number: int) -> None:
-        """Somebody says that it is agreed."""
-        if self.heard <= self.table.last < number:
-            self.tries, self.pause = 0, self.rules.retry
-            self.ask_at = now + self.rng.uniform(0.25, 0.75) * self.rules.retry  # it may be on its way
-        self.heard = max(self.heard, number)
+        # complete table in transfer: its sender, its floor, the number reached
+        self._transfer: tuple[str, int, int] | None = None
+        self._transferred: list[Record] = []
+
+    def note_agreed(self, now: float, number: int) -> None:
+        """A process reports that this number is agreed."""
+        if self.highest_agreed <= self.table.last < number:
+            self.fetch_tries, self.fetch_interval = 0, self.rules.retry_interval
+            self.fetch_at = (
+                now + self.rng.uniform(0.25, 0.75) * self.rules.retry_interval
+            )  # it may be in transit
+        self.highest_agreed = max(self.highest_agreed, number)
 
     def regroup(self) -> None:
-        """Who is there has changed."""
+        """The set of running members has changed."""
         self._tree = None
 
-    # ---- in -------------------------------------------------------------------------------------------
+    # ---- receiving ------------------------------------------------------------------------------------
 
-    def chunk(self, now: float, sender: str, chunk: Chunk) -> Change | None:
-        """What it adds; None: nothing, or a part of a whole table that is not complete yet."""
+    def on_chunk(self, now: float, sender: str, chunk: Chunk) -> Change | None:
+        """Applies a chunk; None if it adds nothing or is a chunk of an incomplete table transfer."""
         numbers = [record.number for record in chunk.records]
         if any(a >= b for a, b in zip([chunk.after, *numbers], numbers, strict=False)):
             return None
         if (numbers and numbers[-1] > chunk.to) or chunk.to > chunk.number:
             return None
-        self.hear(now, chunk.number)
+        self.note_agreed(now, chunk.number)
         if chunk.floor > self.table.last:
-            return self._whole(now, sender, chunk)
+            return self._on_transfer_chunk(now, sender, chunk)
         if not chunk.after <= self.table.last < chunk.to:
             return None
         change = self.table.apply(chunk.records, chunk.to)
-        self._stage, self._staged = None, []
-        self._went_on(now, sender, chunk)
+        self._transfer, self._transferred = None, []
+        self._on_progress(now, sender, chunk)
         return change
 
-    def _whole(self, now: float, sender: str, chunk: Chunk) -> Change | None:
-        if chunk.after == 0 and (self._stage is None or self._stage[:2] != (sender, chunk.floor)):
-            self._stage, self._staged = (sender, chunk.floor, 0), []
-        if self._stage is None or self._stage[:2] != (sender, chunk.floor):
+    def _on_transfer_chunk(self, now: float, sender: str, chunk: Chunk) -> Change | None:
+        if chunk.after == 0 and (self._transfer is None or self._transfer[:2] != (sender, chunk.floor)):
+            self._transfer, self._transferred = (sender, chunk.floor, 0), []
+        if self._transfer is None or self._transfer[:2] != (sender, chunk.floor):
             return None
-        cursor = self._stage[2]
-        if not chunk.after <= cursor < chunk.to or len(self._staged) > MOST_STAGED:
+        reached = self._transfer[2]
+        if not chunk.after <= reached < chunk.to or len(self._transferred) > MAX_TRANSFER_RECORDS:
             return None
-        self._staged += [record for record in chunk.records if record.number > cursor]
-        self._stage = (sender, chunk.floor, chunk.to)
-        self._went_on(now, sender, chunk)
+        self._transferred += [record for record in chunk.records if record.number > reached]
+        self._transfer = (sender, chunk.floor, chunk.to)
+        self._on_progress(now, sender, chunk)
         if chunk.to < chunk.number:
             return None
-        latest = {(record.kind, record.key): record for record in self._staged}
-        self._stage, self._staged = None, []
-        whole = sorted(latest.values(), key=lambda record: record.number)
-        return self.table.replace(whole, chunk.to, chunk.floor)
-
-    def _went_on(self, now: float, sender: str, chunk: Chunk) -> None:
-        """More is asked for when the rest of the burst should be here."""
-        self.tries, self.pause = 0, self.rules.retry
-        self.ask_at = now + self.rules.retry
-
-    def due(self, now: float) -> list[Effect]:
-        """Questions, where something is missing or it is time to look."""
-        self.answers = 0
+        latest = {(record.kind, record.key): record for record in self._transferred}
+        self._transfer, self._transferred = None, []
+        complete = sorted(latest.values(), key=lambda record: record.number)
+        return self.table.replace(complete, chunk.to, chunk.floor)
+
+    def _on_progress(self, now: float, sender: str, chunk: Chunk) -> None:
+        """Delays the next fetch until the remaining chunks should have arrived."""
+        self.fetch_tries, self.fetch_interval = 0, self.rules.retry_interval
+        self.fetch_at = now + self.rules.retry_interval
+
+    def tick(self, now: float) -> list[Effect]:
+        """Sends fetches where records are missing or a poll is due."""
+        self.answered = 0
         effects: list[Effect] = []
-        if self.heard > self.table.last and now >= self.ask_at:
-            effects += [self._fetch(target) for target in self._sources()]
-            self.tries += 1
-            self.ask_at = now + self.pause * self.rng.uniform(0.75, 1.25)
-            if self.tries > PATIENT:
-                self._stage, self._staged = None, []
-                self.pause = min(2 * self.pause, SLOWEST)
+        if self.highest_agreed > self.table.last and now >= self.fetch_at:
+            effects += [self._fetch(target) for target in self._fetch_targets()]
+            self.fetch_tries += 1
+            self.fetch_at = now + self.fetch_interval * self.rng.uniform(0.75, 1.25)
+            if self.fetch_tries > TRIES_BEFORE_BACKOFF:
+                self._transfer, self._transferred = None, []
+                self.fetch_interval = min(2 * self.fetch_interval, MAX_FETCH_INTERVAL)
         if now >= self.poll_at:
-            self.poll_at = now + self.rules.poll * self.rng.uniform(0.75, 1.25)
-            if target := self._random(self.tree()):
+            self.poll_at = now + self.rules.poll_interval * self.rng.uniform(0.75, 1.25)
+            if target := self._random_other(self.tree()):
                 effects.append(self._fetch(target))
         return effects
 
     def _fetch(self, to: str) -> Post:
-        if self._stage is not None and self._stage[0] == to:
-            return post(to, Fetch(self._stage[2], self._stage[1]))
+        if self._transfer is not None and self._transfer[0] == to:
+            return post(to, Fetch(self._transfer[2], self._transfer[1]))
         return post(to, Fetch(self.table.last, 0))
 
-    def _sources(self) -> list[str]:
-        """The parent first, then a voter and any other; of a whole table, who has sent its start."""
-        if self._stage is not None:
-            return [self._stage[0]]
+    def _fetch_targets(self) -> list[str]:
+        """The parent first, then a random voter and any other; the sender of a table transfer in progress."""
+        if self._transfer is not None:
+            return [self._transfer[0]]
         tree, parent = self.tree(), self._parent()
-        if self.tries == 0 and parent is not None:
+        if self.fetch_tries == 0 and parent is not None:
             return [parent]
-        names = (self._random(self._roots(tree)), self._random(tree))
+        names = (self._random_other(self._roots(tree)), self._random_other(tree))
         return list(dict.fromkeys(name for name in names if name is not None))
 
-    def _random(self, names: list[str]) -> str | None:
+    def _random_other(self, names: list[str]) -> str | None:
         others = len(names) - (self.view.name in names)
         if others < 1:
             return None
@@ -134,30 +138,29 @@
             pass
         return name
 
-    # ---- out ------------------------------------------------------------------------------------------
+    # ---- sending --------------------------------------------------------------------------------------
 
-    def answer(self, now: float, sender: str, fetch: Fetch) -> list[Effect]:
-        """What the asker has not got; nothing if that is nothing, or too many have asked since the last
-        tick."""
+    def on_fetch(self, now: float, sender: str, fetch: Fetch) -> list[Effect]:
+        """Sends what the requester lacks; nothing if there were too many fetches since the last tick."""
         if fetch.floor == 0:
-            self.hear(now, fetch.after)
-        self.answers += 1
+            self.note_agreed(now, fetch.after)
+        self.answered += 1
         after = fetch.after
         if after < self.table.floor and fetch.floor != self.table.floor:
             after = 0
-        if self.answers > MOST_ANSWERS or after >= self.table.last:
+        if self.answered > MAX_REPLIES_PER_TICK or after >= self.table.last:
             return []
         return self._chunks([sender], after)
 
-    def pass_on(self, before: int) -> list[Effect]:
-        """To those below, what has become known beyond `before`."""
-        below = self._below()
-        return self._chunks(below, before) if below and before >= self.table.floor else []
+    def forward(self, before: int) -> list[Effect]:
+        """Forwards the records beyond `before` to the children."""
+        children = self._children()
+        return self._chunks(children, before) if children and before >= self.table.floor else []
 
     def _chunks(self, to: list[str], after: int) -> list[Effect]:
         effects: list[Effect] = []
-        for _ in range(BURST):
-            chunk = self.table.chunk(after, self.seen)
+        for _ in range(MAX_CHUNKS_PER_REPLY):
+            chunk = self.table.chunk(after, self.highest_epoch)
             effects += [post(name, chunk) for name in to]
             after = chunk.to
             if after >= self.table.last:
@@ -167,20 +170,20 @@
     # ---- the tree -------------------------------------------------------------------------------------
 
     def tree(self) -> list[str]:
-        """Voters that are there, then all others, by place and name."""
+        """Running voters, then all other running members by place and name."""
         if self._tree is None:
             members = self.view.members()
             voters = self.rules.voters
-            there = sorted((m.place, m.name) for m in members.values() if m.there and m.name not in voters)
+            running = sorted((m.place, m.name) for m in members.values() if m.there and m.name not in voters)
             roots = [name for name in voters if name in members and members[name].there]
-            self._tree = roots + [name for _, name in there]
+            self._tree = roots + [name for _, name in running]
         return self._tree
 
     def _roots(self, tree: list[str]) -> list[str]:
         return tree[: sum(name in self.rules.voters for name in tree[: len(self.rules.voters)])]
 
-    def _place(self) -> tuple[list[str], int, int] | None:
-        """The tree, how many roots it has, and where this process is in it."""
+    def _position(self) -> tuple[list[str], int, int] | None:
+        """The tree, its number of roots, and the position of this process in it."""
         tree = self.tree()
         roots = len(self._roots(tree))
         if self.view.name in self.rules.voters:
@@ -190,13 +193,13 @@
         return (tree, roots, roots + at) if roots and roots + at < len(tree) else None
 
     def _parent(self) -> str | None:
-        if (where := self._place()) is None or where[2] < where[1]:
+        if (position := self._position()) is None or position[2] < position[1]:
             return None
-        tree, roots, at = where
-        return tree[(at - roots) // FAN]
+        tree, roots, at = position
+        return tree[(at - roots) // FANOUT]
 
-    def _below(self) -> list[str]:
-        if (where := self._place()) is None:
+    def _children(self) -> list[str]:
+        if (position := self._position()) is None:
             return []
-        tree, roots, at = where
-        return tree[roots + at * FAN : roots + (at + 1) * FAN]
+        tree, roots, at = position
+        return tree[roots + at * FANOUT : roots + (at + 1) * FANOUT]
--- a/aspenrill/fleet/authority/part.py
+++ b/aspenrill/fleet/authority/part.py
@@ -1,12 +1,12 @@
-"""The part named "authority": election, log and followers put together, as `interface.Authority`.
+"""The component named "authority": election, log and distribution, as `interface.Authority`.
 
-Its facts are for the driver: each `Agreed` is handed to the parts of the same process whose `kinds` have it.
-`propose` and `fresh` may be called from other parts' calls: what they cause to be sent or stored goes out
-with this part's next own call, within `period` seconds.
+Its facts are for the driver: each `Agreed` goes to the components of the same process whose `kinds` list it.
+Other components may call `propose` and `fresh` during their own calls: the resulting messages and records go
+out with this component's next call, within `period` seconds.
 
-Every call ends in `_work`. What is learned to be agreed is told first, then stored, then answered: telling
-needs no disk, since it is on those of a majority, and a disk that fails must not keep a process from hearing
-of it.
+Every call ends in `_finish_call`. Newly agreed records are reported first, then stored, then acknowledged.
+Reporting needs no local disk, since the records are on those of a majority, and a failed disk must not keep a
+process from learning of them.
 """
 
 from __future__ import annotations
@@ -20,41 +20,40 @@
 from ...errors import DiskTrouble, StateTrouble
 from ..interface import Effect, Entry, Inform, Member, Note, Post, Put, Store, View
 from .election import Election
-from .follow import Follow
-from .rules import MOST_KEY, MOST_KIND, MOST_RECORD, MOST_WAITING, WINDOW, Rules
+from .follow import LogFollower
+from .rules import MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_KIND_BYTES, MAX_PROPOSALS, MAX_UNAGREED, Rules
 from .table import Change, Table
 from .voter import Voter
 from .wire import (
     Accept,
-    Acked,
-    Admit,
-    Admitted,
-    Ask,
-    Board,
+    Acknowledge,
+    Admission,
+    AdmissionRequest,
     Chunk,
     Fetch,
+    LeaseRequest,
+    LogPosition,
+    LogTail,
     Message,
-    Nothing,
-    Read,
+    NeverGranted,
+    ReadLog,
     Record,
     Release,
-    Tail,
     Vote,
+    count_fitting,
     decode,
     decode_as,
     encode,
-    fitting,
     post,
 )
 
 NAME = "authority"
-SEEN = "seen"  # key on disk: the highest epoch that was seen
-SENDS = 4  # messages with records to one voter in one call
+SEEN_EPOCH_KEY = "seen"  # key on disk of the highest epoch seen
+MAX_RECORD_MESSAGES = 4  # `Accept` messages with records to one voter in one call
 
 
 class AuthorityPart:
-    """See `interface.Authority` for what other parts ask of it. Every process has one; voters are named in
-    the rules. `rng` gives the delays."""
+    """Implements `interface.Authority` in every process. `rng` provides the random delays."""
 
     name = NAME
     topics = (NAME,)
@@ -62,306 +61,335 @@
 
     def __init__(self, rules: Rules, rng: random.Random) -> None:
         self.rules, self.rng = rules, rng
-        self.waiting: deque[tuple[str, str, bytes]] = deque()
+        self.proposals: deque[tuple[str, str, bytes]] = deque()
         self.voter: Voter | None = None
         self.election: Election | None = None
-        self.broken = False
+        self.disk_failed = False
         self.stored_epoch = 0
-        self.board: Board | None = None
-        self.board_at = 0.0
-        self.sent: dict[str, int] = {}  # by voter: the last number sent to it
-        self.send_at = 0.0
-        self.announced = 0
-        self.strangers: set[str] = set()
+        self.position: LogPosition | None = None
+        self.position_at = 0.0
+        self.sent_numbers: dict[str, int] = {}  # by voter: the last number sent to it in this epoch
+        self.resend_at = 0.0
+        self.announced_number = 0
+        self.unknown_voters: set[str] = set()
 
-    # ---- what others ask ------------------------------------------------------------------------------
+    # ---- interface of the authority -------------------------------------------------------------------
 
     def coordinating(self, now: float) -> int | None:
-        """The epoch, where the lease of the majority runs at this very moment and its log was read."""
-        tenure = self.election.tenure if self.election is not None else None
-        if tenure is None or self.broken or tenure.won_at is None or not tenure.holds(now):
+        """The epoch if the majority lease is running at this moment and the log is recovered, else None."""
+        leadership = self.election.leadership if self.election is not None else None
+        if (
+            leadership is None
+            or self.disk_failed
+            or leadership.won_at is None
+            or not leadership.holds_lease(now)
+        ):
             return None
-        return tenure.epoch
+        return leadership.epoch
 
     def settled(self, now: float) -> bool:
-        """Coordinating, what was read is agreed, and each lease granted under a former epoch is over."""
+        """Coordinating, the recovered log is agreed, and all leases of earlier epochs have expired."""
         if self.coordinating(now) is None:
             return False
-        tenure = self.election.tenure
-        over = tenure.first or now >= tenure.won_at + self.rules.hold(self.rules.longest)
-        return over and self.table.last >= tenure.recovered
+        leadership = self.election.leadership
+        leases_expired = leadership.is_first or now >= leadership.won_at + self.rules.grantor_duration(
+            self.rules.longest
+        )
+        return leases_expired and self.table.last >= leadership.recovered_to
 
     def epoch(self) -> int:
-        return self.follow.seen
+        """The highest epoch seen."""
+        return self.follow.highest_epoch
 
     def fresh(self, epoch: int) -> bool:
-        """Whether an order of this epoch is to be followed; from then on those of lower ones are not."""
-        if epoch < self.follow.seen:
+        """Whether an order of this epoch is valid. If so, orders of lower epochs are refused from now on."""
+        if epoch < self.follow.highest_epoch:
             return False
-        self.follow.seen = epoch
+        self.follow.highest_epoch = epoch
         return True
 
     def propose(self, now: float, kind: str, key: str, body: bytes) -> list[Effect]:
-        """Nothing where it does not coordinate. A line for the log where the record cannot be taken."""
+        """Queues a record, if this process coordinates. A log line if the record cannot be taken."""
         if self.coordinating(now) is None:
             return []
-        if len(kind.encode()) > MOST_KIND or len(key.encode()) > MOST_KEY or len(body) > MOST_RECORD:
-            return [Note(f"authority: a record of kind {kind[:MOST_KIND]!r} is too large; it is left out")]
-        if len(self.waiting) >= MOST_WAITING or (self.table.full and (kind, key) not in self.table.latest):
-            return [Note(f"authority: too many records; one of kind {kind!r} is left out")]
-        self.waiting.append((kind, key, body))
+        if (
+            len(kind.encode()) > MAX_KIND_BYTES
+            or len(key.encode()) > MAX_KEY_BYTES
+            or len(body) > MAX_BODY_BYTES
+        ):
+            return [
+                Note(f"authority: a record of kind {kind[:MAX_KIND_BYTES]!r} is too large; it is dropped")
+            ]
+        if len(self.proposals) >= MAX_PROPOSALS or (self.table.full and (kind, key) not in self.table.latest):
+            return [Note(f"authority: too many records; one of kind {kind!r} is dropped")]
+        self.proposals.append((kind, key, body))
         return []
 
     # ---- calls of the driver --------------------------------------------------------------------------
 
     def on_start(self, now: float, view: View, stored: Mapping[str, bytes]) -> list[Effect]:
-        """Raises StateTrouble if what was stored is not of its form: it is refused whole."""
+        """Restores the stored state. Raises StateTrouble if any of it is malformed."""
         self.view, self.table = view, Table()
-        self.follow = Follow(self.rules, self.table, view, self.rng, now)
+        self.follow = LogFollower(self.rules, self.table, view, self.rng, now)
         effects: list[Effect] = []
         try:
-            self.stored_epoch = decode_as(int, stored[SEEN]) if SEEN in stored else 0
+            self.stored_epoch = decode_as(int, stored[SEEN_EPOCH_KEY]) if SEEN_EPOCH_KEY in stored else 0
             if view.name in self.rules.voters:
                 self.voter = Voter(self.rules, self.table, now)
                 effects = self.voter.load(now, stored)
         except (msgspec.DecodeError, ValueError) as error:
             raise StateTrouble(f"records of {NAME} of {view.name}: {error}") from None
-        self.follow.seen = self.stored_epoch
+        self.follow.highest_epoch = self.stored_epoch
         if self.voter is not None:
             self.election = Election(self.rules, view.name, view.incarnation, self.voter, self.rng, now)
-            self._see(self.voter.promise.epoch if self.voter.promise is not None else 0)
-        told = sorted(self.table.latest.values(), key=lambda record: record.number)
-        return [Inform(record.told()) for record in told] + effects + self._work(now)
+            self._note_epoch(self.voter.promise.epoch if self.voter.promise is not None else 0)
+        records = sorted(self.table.latest.values(), key=lambda record: record.number)
+        return [Inform(record.to_agreed()) for record in records] + effects + self._finish_call(now)
 
     def on_member(self, now: float, member: Member) -> list[Effect]:
+        """A member has changed."""
         self.follow.regroup()
         return []
 
     def on_entry(self, now: float, entry: Entry) -> list[Effect]:
+        """A coordinator has announced its log position."""
         if not entry.value or entry.origin not in self.rules.voters:
             return []
         try:
-            board = decode_as(Board, entry.value)
+            position = decode_as(LogPosition, entry.value)
         except msgspec.DecodeError:
             return []
-        self._see(board.epoch)
-        self.follow.hear(now, board.number)
-        return self._work(now)
+        self._note_epoch(position.epoch)
+        self.follow.note_agreed(now, position.number)
+        return self._finish_call(now)
 
     def on_message(self, now: float, sender: str, incarnation: int, body: bytes) -> list[Effect]:
+        """A message from the authority of another process."""
         message = decode(body)
         if message is None:
             return []
-        self._own()
-        return self._handle(now, sender, incarnation, message) + self._work(now)
+        self._acknowledge_own()
+        return self._handle(now, sender, incarnation, message) + self._finish_call(now)
 
     def on_tick(self, now: float) -> list[Effect]:
-        self._own()
-        effects = self.follow.due(now)
-        if self.election is not None and not self.broken:
+        """Runs fetches, election and renewals that are due."""
+        self._acknowledge_own()
+        effects = self.follow.tick(now)
+        if self.election is not None and not self.disk_failed:
             effects += self.election.tick(now)
-        return effects + self._work(now)
+        return effects + self._finish_call(now)
 
     def on_disk(self, now: float, key: str) -> list[Effect]:
-        """It votes and coordinates no more in this life; it still follows."""
-        if self.broken:
+        """Stops voting and coordinating in this incarnation; it still follows the log."""
+        if self.disk_failed:
             return []
-        self.broken = True
-        trouble = DiskTrouble(f"{NAME}: {key} could not be written")
-        return [Note(trouble.line())] + self._step_back(now)
+        self.disk_failed = True
+        failure = DiskTrouble(f"{NAME}: {key} could not be written")
+        return [Note(failure.line())] + self._step_down(now)
 
     def on_leave(self, now: float) -> list[Effect]:
-        effects = self._step_back(now)
-        effects += [effect for effect in effects if isinstance(effect, Post)] * 2  # nobody repeats it later
+        """Releases the lease before the process ends."""
+        effects = self._step_down(now)
+        # sent three times in all, since there is no later retry
+        effects += [effect for effect in effects if isinstance(effect, Post)] * 2
         if self.election is not None:
             self.election.leaving = True
         return effects
 
-    def _step_back(self, now: float) -> list[Effect]:
+    def _step_down(self, now: float) -> list[Effect]:
         if self.election is None:
             return []
-        return self.election.end(now, "") + self._unboard()
+        return self.election.release_lease(now, "") + self._withdraw_position()
 
     # ---- messages -------------------------------------------------------------------------------------
 
     def _handle(self, now: float, sender: str, incarnation: int, message: Message) -> list[Effect]:
         if isinstance(message, Fetch):
-            return self.follow.answer(now, sender, message)
+            return self.follow.on_fetch(now, sender, message)
         if isinstance(message, Chunk):
-            self._see(message.epoch)
+            self._note_epoch(message.epoch)
             before = self.table.last
-            change = self.follow.chunk(now, sender, message)
-            return self._changed(now, before, change) if change is not None else []
-        if self.voter is None or self.broken or sender == self.view.name:
+            change = self.follow.on_chunk(now, sender, message)
+            return self._after_change(now, before, change) if change is not None else []
+        if self.voter is None or self.disk_failed or sender == self.view.name:
             return []
         if sender not in self.rules.voters:
-            return self._stranger(sender)
-        return self._among_voters(now, sender, incarnation, message)
+            return self._report_unknown_voter(sender)
+        return self._handle_voting(now, sender, incarnation, message)
 
-    def _among_voters(self, now: float, sender: str, incarnation: int, message: Message) -> list[Effect]:
+    def _handle_voting(self, now: float, sender: str, incarnation: int, message: Message) -> list[Effect]:
         election = self.election
         match message:
-            case Ask():
-                effects = election.on_ask(now, sender, incarnation, message)
+            case LeaseRequest():
+                effects = election.on_lease_request(now, sender, incarnation, message)
                 if self.voter.promise is not None:
-                    self._see(self.voter.promise.epoch)
-                self.follow.hear(now, message.number)
+                    self._note_epoch(self.voter.promise.epoch)
+                self.follow.note_agreed(now, message.number)
                 return effects
             case Vote():
                 return election.on_vote(now, sender, incarnation, message)
             case Release():
                 return election.on_release(now, sender, incarnation, message)
-            case Read():
-                return election.on_read(now, sender, incarnation, message)
-            case Tail():
-                self.follow.hear(now, message.number)
-                return election.on_tail(now, sender, incarnation, message)
+            case ReadLog():
+                return election.on_read_log(now, sender, incarnation, message)
+            case LogTail():
+                self.follow.note_agreed(now, message.number)
+                return election.on_log_tail(now, sender, incarnation, message)
             case Accept():
                 return self._on_accept(now, sender, incarnation, message)
-            case Acked():
-                tenure = election.tenure
+            case Acknowledge():
+                leadership = election.leadership
                 if (
-                    tenure is not None
-                    and (message.epoch, message.life) == (tenure.epoch, tenure.life)
-                    and tenure.counts(sender, incarnation)
+                    leadership is not None
+                    and (message.epoch, message.incarnation) == (leadership.epoch, leadership.incarnation)
+                    and leadership.is_valid_voter(sender, incarnation)
                 ):
-                    tenure.acknowledged(sender, message.upto)
-            case Admit():
-                return election.on_admit(now, sender, incarnation, message)
-            case Nothing():
-                return election.on_nothing(now, sender, message)
-            case Admitted():
-                self.follow.hear(now, message.number)
-                return election.on_admitted(now, sender, incarnation, message)
+                    leadership.record_ack(sender, message.up_to)
+            case AdmissionRequest():
+                return election.on_admission_request(now, sender, incarnation, message)
+            case NeverGranted():
+                return election.on_never_granted(now, sender, message)
+            case Admission():
+                self.follow.note_agreed(now, message.number)
+                return election.on_admission(now, sender, incarnation, message)
         return []
 
-    def _stranger(self, sender: str) -> list[Effect]:
-        if sender in self.strangers or len(self.strangers) >= MOST_WAITING:
+    def _report_unknown_voter(self, sender: str) -> list[Effect]:
+        if sender in self.unknown_voters or len(self.unknown_voters) >= MAX_PROPOSALS:
             return []
-        self.strangers.add(sender)
-        return [Note(f"authority: {sender} takes itself for a voter; compare the voters configured there")]
+        self.unknown_voters.add(sender)
+        return [Note(f"authority: {sender} acts as a voter but is none here; compare its configuration")]
 
-    def _on_accept(self, now: float, sender: str, life: int, accept: Accept) -> list[Effect]:
-        if accept.life != life:
+    def _on_accept(self, now: float, sender: str, incarnation: int, accept: Accept) -> list[Effect]:
+        if accept.incarnation != incarnation:
             return []
-        followed, effects = self.voter.accept(sender, life, accept)
-        self.follow.hear(now, accept.number)
-        if not followed:
+        accepted, effects = self.voter.accept(sender, incarnation, accept)
+        self.follow.note_agreed(now, accept.number)
+        if not accepted:
             return []
         before = self.table.last
-        records = self.voter.agreed(accept.number, accept.epoch)
+        records = self.voter.agreed_records(accept.number, accept.epoch)
         if records:
-            effects += self._changed(now, before, self.table.apply(records, records[-1].number))
-        effects += self.voter.join(now)
+            effects += self._after_change(now, before, self.table.apply(records, records[-1].number))
+        effects += self.voter.join_if_caught_up(now)
         if self.voter.promise is None:
             return effects
-        return effects + [post(sender, Acked(accept.epoch, life, self.voter.upto(accept.epoch)))]
+        return effects + [
+            post(sender, Acknowledge(accept.epoch, incarnation, self.voter.accepted_to(accept.epoch)))
+        ]
 
-    def _changed(self, now: float, before: int, change: Change) -> list[Effect]:
-        """After the table went on: told, kept, passed on."""
-        effects: list[Effect] = [Inform(record.told()) for record in change.news]
-        if self.voter is not None and not self.broken:
-            effects += self.voter.keep(change) + self.voter.join(now)
-        return effects + self.follow.pass_on(before)
+    def _after_change(self, now: float, before: int, change: Change) -> list[Effect]:
+        """Reports, stores and forwards a change of the table."""
+        effects: list[Effect] = [Inform(record.to_agreed()) for record in change.new_records]
+        if self.voter is not None and not self.disk_failed:
+            effects += self.voter.persist(change) + self.voter.join_if_caught_up(now)
+        return effects + self.follow.forward(before)
 
     # ---- at the end of each call ----------------------------------------------------------------------
 
-    def _own(self) -> None:
-        """The records of the call before this one are on its own disk, or it would be broken."""
-        tenure = self.election.tenure if self.election is not None else None
-        if tenure is not None and tenure.won_at is not None and not self.broken:
-            tenure.acknowledged(self.view.name, self.voter.upto(tenure.epoch))
+    def _acknowledge_own(self) -> None:
+        """Counts its own acceptance: the previous call's records are on disk unless `disk_failed` is set."""
+        leadership = self.election.leadership if self.election is not None else None
+        if leadership is not None and leadership.won_at is not None and not self.disk_failed:
+            leadership.record_ack(self.view.name, self.voter.accepted_to(leadership.epoch))
 
-    def _see(self, epoch: int) -> None:
-        self.follow.seen = max(self.follow.seen, epoch)
+    def _note_epoch(self, epoch: int) -> None:
+        self.follow.highest_epoch = max(self.follow.highest_epoch, epoch)
 
-    def _work(self, now: float) -> list[Effect]:
+    def _finish_call(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        if self.follow.seen > self.stored_epoch and not self.broken:
-            self.stored_epoch = self.follow.seen
-            effects.append(Store(SEEN, encode(self.stored_epoch)))
-        tenure = self.election.tenure if self.election is not None and not self.broken else None
-        if tenure is None:
-            self.waiting.clear()
-            return effects + self._unboard()
-        self.election.seen = max(self.election.seen, self.follow.seen)
-        if tenure.won_at is None:
-            if not tenure.sounding and tenure.complete(now, self.table.last):
+        if self.follow.highest_epoch > self.stored_epoch and not self.disk_failed:
+            self.stored_epoch = self.follow.highest_epoch
+            effects.append(Store(SEEN_EPOCH_KEY, encode(self.stored_epoch)))
+        leadership = self.election.leadership if self.election is not None and not self.disk_failed else None
+        if leadership is None:
+            self.proposals.clear()
+            return effects + self._withdraw_position()
+        self.election.highest_epoch = max(self.election.highest_epoch, self.follow.highest_epoch)
+        if leadership.won_at is None:
+            if not leadership.pre_voting and leadership.recovery_complete(now, self.table.last):
                 effects += self._win(now)
             return effects
-        return effects + self._lead(now)
+        return effects + self._coordinate(now)
 
     def _win(self, now: float) -> list[Effect]:
-        tenure = self.election.tenure
-        records = tenure.win(now, self.table.last)
-        self.election.failures = 0
-        self._see(tenure.epoch)
-        self.waiting.clear()
-        self.sent = {other: self.table.last for other in self.election.others}
-        self.send_at, self.announced = now, 0
-        self.election.again_at = now + self.rules.renew
-        note = Note(f"authority: coordinates in epoch {tenure.epoch}, records up to {tenure.recovered} read")
+        leadership = self.election.leadership
+        records = leadership.win(now, self.table.last)
+        self.election.failed_elections = 0
+        self._note_epoch(leadership.epoch)
+        self.proposals.clear()
+        self.sent_numbers = {other: self.table.last for other in self.election.others}
+        self.resend_at, self.announced_number = now, 0
+        self.election.next_round_at = now + self.rules.renew
+        note = Note(
+            f"authority: coordinates in epoch {leadership.epoch}, "
+            f"log recovered up to {leadership.recovered_to}"
+        )
         return [note] + self._accept_own(records)
 
     def _accept_own(self, records: list[Record]) -> list[Effect]:
-        tenure = self.election.tenure
-        accept = Accept(tenure.epoch, tenure.life, self.table.last, records)
-        return self.voter.accept(self.view.name, tenure.life, accept)[1]
+        leadership = self.election.leadership
+        accept = Accept(leadership.epoch, leadership.incarnation, self.table.last, records)
+        return self.voter.accept(self.view.name, leadership.incarnation, accept)[1]
 
-    def _lead(self, now: float) -> list[Effect]:
-        tenure, before = self.election.tenure, self.table.last
+    def _coordinate(self, now: float) -> list[Effect]:
+        leadership, before = self.election.leadership, self.table.last
         effects: list[Effect] = []
-        if records := self.voter.agreed(tenure.agreed(), tenure.epoch):
-            effects += self._changed(now, before, self.table.apply(records, records[-1].number))
-        if tenure.holds(now):
-            effects += self._number()
-        return effects + self._send(now) + self._tell(now)
-
-    def _number(self) -> list[Effect]:
-        """What waits gets its number, as far as the window goes."""
-        tenure, records, number = self.election.tenure, [], self.voter.end
-        while self.waiting and number < self.table.last + WINDOW:
+        if records := self.voter.agreed_records(leadership.agreed_number(), leadership.epoch):
+            effects += self._after_change(now, before, self.table.apply(records, records[-1].number))
+        if leadership.holds_lease(now):
+            effects += self._assign_numbers()
+        return effects + self._send(now) + self._publish_position(now)
+
+    def _assign_numbers(self) -> list[Effect]:
+        """Assigns numbers to queued proposals, as far as MAX_UNAGREED allows."""
+        leadership, records, number = self.election.leadership, [], self.voter.last_accepted
+        while self.proposals and number < self.table.last + MAX_UNAGREED:
             number += 1
-            records.append(Record(number, tenure.epoch, *self.waiting.popleft()))
+            records.append(Record(number, leadership.epoch, *self.proposals.popleft()))
         return self._accept_own(records) if records else []
 
     def _send(self, now: float) -> list[Effect]:
-        """New records to each voter once, and again after `retry` what it has not acknowledged."""
-        again = now >= self.send_at
-        if again:
-            self.send_at = now + self.rules.retry
+        """Sends new records to each voter, and unacknowledged ones again every `retry_interval`."""
+        resend = now >= self.resend_at
+        if resend:
+            self.resend_at = now + self.rules.retry_interval
         effects: list[Effect] = []
         for other in self.election.others:
-            acked = self.election.tenure.acked.get(other, 0)
-            if again and acked < self.voter.end:
-                self.sent[other] = min(self.sent[other], acked)
-            effects += self._send_to(other, again and acked < self.table.last)
-        self.announced = self.table.last
+            acknowledged = self.election.leadership.acknowledged_to.get(other, 0)
+            if resend and acknowledged < self.voter.last_accepted:
+                self.sent_numbers[other] = min(self.sent_numbers[other], acknowledged)
+            effects += self._send_to(other, resend and acknowledged < self.table.last)
+        self.announced_number = self.table.last
         return effects
 
-    def _send_to(self, other: str, ask: bool) -> list[Effect]:
-        tenure, effects = self.election.tenure, []
-        after = max(self.sent[other], self.table.last)
-        entries = [self.voter.tail[n].record for n in range(after + 1, self.voter.end + 1)]
-        while entries and len(effects) < SENDS:
-            count = fitting(entries)
-            effects.append(post(other, Accept(tenure.epoch, tenure.life, self.table.last, entries[:count])))
-            self.sent[other] = entries[count - 1].number
+    def _send_to(self, other: str, announce: bool) -> list[Effect]:
+        leadership, effects = self.election.leadership, []
+        after = max(self.sent_numbers[other], self.table.last)
+        entries = [self.voter.tail[n].record for n in range(after + 1, self.voter.last_accepted + 1)]
+        while entries and len(effects) < MAX_RECORD_MESSAGES:
+            count = count_fitting(entries)
+            effects.append(
+                post(
+                    other, Accept(leadership.epoch, leadership.incarnation, self.table.last, entries[:count])
+                )
+            )
+            self.sent_numbers[other] = entries[count - 1].number
             entries = entries[count:]
-        if not effects and (ask or self.announced < self.table.last):
-            effects.append(post(other, Accept(tenure.epoch, tenure.life, self.table.last, [])))
+        if not effects and (announce or self.announced_number < self.table.last):
+            effects.append(post(other, Accept(leadership.epoch, leadership.incarnation, self.table.last, [])))
         return effects
 
-    def _tell(self, now: float) -> list[Effect]:
-        """The board entry for all, at most each `retry` seconds."""
-        board = Board(self.election.tenure.epoch, self.table.last)
-        if board == self.board or now < self.board_at:
+    def _publish_position(self, now: float) -> list[Effect]:
+        """Updates its gossip entry, at most every `retry_interval` seconds."""
+        position = LogPosition(self.election.leadership.epoch, self.table.last)
+        if position == self.position or now < self.position_at:
             return []
-        self.board, self.board_at = board, now + self.rules.retry
-        return [Put(NAME, encode(board))]
+        self.position, self.position_at = position, now + self.rules.retry_interval
+        return [Put(NAME, encode(position))]
 
-    def _unboard(self) -> list[Effect]:
-        if self.board is None:
+    def _withdraw_position(self) -> list[Effect]:
+        if self.position is None:
             return []
-        self.board = None
+        self.position = None
         return [Put(NAME, b"")]
--- a/aspenrill/fleet/authority/wire.py
+++ b/aspenrill/fleet/authority/wire.py
@@ -1,6 +1,7 @@
-"""Messages between the authority's parts, and what voters keep on disk: MessagePack, checked when decoded.
+"""Messages between authority components and the voters' stored records, as validated MessagePack.
 
-`life` is an incarnation: of who asked, sent back to it, so that an answer to a former life is no answer.
+`incarnation` is that of the requester. An answer echoes it, so that answers to an earlier incarnation are
+ignored.
 """
 
 from __future__ import annotations
@@ -11,165 +12,178 @@
 from msgspec import Meta, Struct
 
 from ..interface import MOST_BODY, Agreed, Post
-from .rules import LONGEST_SPAN, MOST_KEY, MOST_KIND, MOST_RECORD, WINDOW
+from .rules import LONGEST_SPAN, MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_KIND_BYTES, MAX_UNAGREED
 
-HIGHEST = 2**53 - 1
-AGREED = HIGHEST  # as the ballot of a record that is known to be agreed: it wins over any other
+MAX_NUMBER = 2**53 - 1
+AGREED_BALLOT = MAX_NUMBER  # ballot of a record that is known to be agreed; higher than any epoch
 
-Number = Annotated[int, Meta(ge=0, le=HIGHEST)]
-Epoch = Annotated[int, Meta(ge=0, lt=HIGHEST)]
-Span = Annotated[float, Meta(ge=0, le=LONGEST_SPAN)]
+Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
+Epoch = Annotated[int, Meta(ge=0, lt=MAX_NUMBER)]
+Seconds = Annotated[float, Meta(ge=0, le=LONGEST_SPAN)]
 
 
 class Record(Struct, frozen=True, array_like=True):
-    """As `interface.Agreed`; its `epoch` is the one in which it was first proposed and stays with it."""
+    """A log record, like `interface.Agreed`. `epoch` is the one in which it was first proposed."""
 
-    number: Annotated[int, Meta(ge=1, le=HIGHEST)]
+    number: Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
     epoch: Epoch
-    kind: Annotated[str, Meta(max_length=MOST_KIND)]
-    key: Annotated[str, Meta(max_length=MOST_KEY)]
-    body: Annotated[bytes, Meta(max_length=MOST_RECORD)]
+    kind: Annotated[str, Meta(max_length=MAX_KIND_BYTES)]
+    key: Annotated[str, Meta(max_length=MAX_KEY_BYTES)]
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)]
 
-    def told(self) -> Agreed:
+    def to_agreed(self) -> Agreed:
+        """The record as other components receive it."""
         return Agreed(self.number, self.epoch, self.kind, self.key, self.body)
 
     @property
     def size(self) -> int:
-        """Bytes that it takes in a message, at most."""
+        """Upper bound of its encoded size in bytes."""
         return 40 + len(self.kind.encode()) + len(self.key.encode()) + len(self.body)
 
 
 class Accepted(Struct, frozen=True, array_like=True):
-    """A record that a voter has accepted; `ballot` is the epoch in which it was sent to the voter."""
+    """A record that a voter has accepted; `ballot` is the epoch of the coordinator that sent it."""
 
     ballot: Number
     record: Record
 
 
 class Promise(Struct, frozen=True, array_like=True):
-    """A voter's: it has granted `epoch` to a process and accepts nothing of a lower one. `span` is the
-    longest lease in seconds that it ever granted. Epoch 0: none yet."""
+    """A voter's promise to a process: it has granted `epoch` and accepts nothing of a lower one.
+
+    `max_lease` is the longest lease in seconds that the voter ever granted. Epoch 0 means none yet.
+    """
 
     epoch: Epoch = 0
     name: str = ""
-    life: Number = 0
-    span: Span = 0.0
+    incarnation: Number = 0
+    max_lease: Seconds = 0.0
 
 
 class Commit(Struct, frozen=True, array_like=True):
-    """A voter's: all up to `number` is agreed; what it holds under the `void` numbers is not, or has
-    ended."""
+    """A voter's commit point: stored records up to `number` are agreed.
+
+    Except those of `invalid_numbers`, which are not agreed or are superseded.
+    """
 
     number: Number = 0
     floor: Number = 0
-    void: list[Number] = []
+    invalid_numbers: list[Number] = []
 
 
-class Board(Struct, frozen=True, array_like=True):
-    """The coordinator's entry for all: its epoch and the last number agreed."""
+class LogPosition(Struct, frozen=True, array_like=True):
+    """The coordinator's gossip entry: its epoch and the last agreed number."""
 
     epoch: Epoch
     number: Number
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="ask"):
-    """For a lease in an epoch, or for more of it. `sound`: only whether it would be granted."""
+class LeaseRequest(Struct, frozen=True, array_like=True, tag="ask"):
+    """Requests a lease in an epoch, or its renewal. `pre_vote` only queries whether it would be granted."""
 
     epoch: Epoch
-    life: Number
+    incarnation: Number
     round: Number
-    span: Span
-    sound: bool
+    lease: Seconds
+    pre_vote: bool
     number: Number
 
 
 class Vote(Struct, frozen=True, array_like=True, tag="vote"):
-    """The answer; `promised` is the voter's highest epoch."""
+    """Answer to `LeaseRequest`; `promised` is the highest epoch that the voter has promised."""
 
     epoch: Epoch
-    life: Number
+    incarnation: Number
     round: Number
-    sound: bool
+    pre_vote: bool
     granted: bool
     promised: Epoch
 
 
 class Release(Struct, frozen=True, array_like=True, tag="release"):
-    """Who sends this does not use its lease of the epoch any more."""
+    """The sender gives up its lease of this epoch."""
 
     epoch: Epoch
-    life: Number
+    incarnation: Number
 
 
-class Read(Struct, frozen=True, array_like=True, tag="read"):
-    """For what a voter has accepted beyond a number."""
+class ReadLog(Struct, frozen=True, array_like=True, tag="read"):
+    """Requests the records that a voter has accepted beyond `after`."""
 
     epoch: Epoch
-    life: Number
+    incarnation: Number
     after: Number
 
 
-class Tail(Struct, frozen=True, array_like=True, tag="tail"):
-    """The answer, under the voter's promise to the asker: agreed up to `number`, accepted up to `end`."""
+class LogTail(Struct, frozen=True, array_like=True, tag="tail"):
+    """Answer to `ReadLog`, under the voter's promise: agreed up to `number`, accepted up to `end`."""
 
     epoch: Epoch
-    life: Number
+    incarnation: Number
     number: Number
     end: Number
-    entries: Annotated[list[Accepted], Meta(max_length=WINDOW)]
+    entries: Annotated[list[Accepted], Meta(max_length=MAX_UNAGREED)]
 
 
 class Accept(Struct, frozen=True, array_like=True, tag="accept"):
-    """The coordinator's records, in order of their numbers; all up to `number` are agreed."""
+    """Records from the coordinator, ordered by number; those up to `number` are agreed."""
 
     epoch: Epoch
-    life: Number
+    incarnation: Number
     number: Number
-    records: Annotated[list[Record], Meta(max_length=WINDOW)]
+    records: Annotated[list[Record], Meta(max_length=MAX_UNAGREED)]
 
 
-class Acked(Struct, frozen=True, array_like=True, tag="acked"):
-    """On the voter's disk up to `upto`, agreed or of this epoch."""
+class Acknowledge(Struct, frozen=True, array_like=True, tag="acked"):
+    """Acknowledges the records up to `up_to`: on the voter's disk, and agreed or of this epoch."""
 
     epoch: Epoch
-    life: Number
-    upto: Number
+    incarnation: Number
+    up_to: Number
+
 
+class AdmissionRequest(Struct, frozen=True, array_like=True, tag="admit"):
+    """From a voter without stored state, which asks for admission.
 
-class Admit(Struct, frozen=True, array_like=True, tag="admit"):
-    """A voter without a record of former lives. `ripe`: what it may have granted in one is over."""
+    `grants_expired`: leases that an earlier incarnation may have granted have expired.
+    """
 
-    life: Number
-    ripe: bool
+    incarnation: Number
+    grants_expired: bool
 
 
-class Nothing(Struct, frozen=True, array_like=True, tag="nothing"):
-    """The answer of a voter that never granted anything either."""
+class NeverGranted(Struct, frozen=True, array_like=True, tag="nothing"):
+    """Answer to `AdmissionRequest` by a voter that never granted a lease either."""
 
-    life: Number
+    incarnation: Number
 
 
-class Admitted(Struct, frozen=True, array_like=True, tag="admitted"):
-    """The coordinator's answer: who has its log up to `end` may vote. `mine` is the coordinator's life."""
+class Admission(Struct, frozen=True, array_like=True, tag="admitted"):
+    """The coordinator's answer to `AdmissionRequest`: a voter that has its log up to `end` may vote."""
 
-    life: Number
+    incarnation: Number
     epoch: Epoch
-    mine: Number
+    coordinator_incarnation: Number
     number: Number
     end: Number
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag="fetch"):
-    """For agreed records beyond `after`; `floor` is that of a whole table of which it has the start, else
-    0."""
+    """Requests agreed records beyond `after`.
+
+    `floor` identifies the complete table whose first chunks the sender already has; 0 for none.
+    """
 
     after: Number
     floor: Number
 
 
 class Chunk(Struct, frozen=True, array_like=True, tag="chunk"):
-    """All agreed records of (after, to] that are not superseded. `number` is the sender's last, `floor` the
-    number up to which it has forgotten what ended, `epoch` the highest it has seen."""
+    """All agreed records of (after, to] that are not superseded.
+
+    `number` is the sender's last, `floor` the number up to which it has dropped tombstones, `epoch` the
+    highest it has seen.
+    """
 
     after: Number
     to: Number
@@ -179,15 +193,28 @@
     records: Annotated[list[Record], Meta(max_length=64)]
 
 
-Message = Ask | Vote | Release | Read | Tail | Accept | Acked | Admit | Nothing | Admitted | Fetch | Chunk
-ROOM = MOST_BODY - 60  # bytes for the records of one message
+Message = (
+    LeaseRequest
+    | Vote
+    | Release
+    | ReadLog
+    | LogTail
+    | Accept
+    | Acknowledge
+    | AdmissionRequest
+    | NeverGranted
+    | Admission
+    | Fetch
+    | Chunk
+)
+MAX_RECORDS_BYTES = MOST_BODY - 60  # bytes available for the records of one message
 
 encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
 def decode(body: bytes) -> Message | None:
-    """A checked message; None for what is none."""
+    """Decodes and validates a message; None if it is malformed."""
     if len(body) > MOST_BODY:
         return None
     try:
@@ -197,20 +224,21 @@
 
 
 def decode_as(kind: type, body: bytes):
-    """One checked struct. Raises msgspec.DecodeError (ValidationError is one)."""
+    """Decodes one struct. Raises msgspec.DecodeError, of which ValidationError is a subclass."""
     return msgspec.msgpack.decode(body, type=kind)
 
 
 def post(to: str, message: Message) -> Post:
+    """The effect that sends a message to the process named `to`."""
     return Post(to, encode(message))
 
 
-def fitting(records: list, size=lambda record: record.size) -> int:
-    """How many from the start of the list fit into one message; at least one, if there is one."""
-    room, count = ROOM, 0
+def count_fitting(records: list, size=lambda record: record.size) -> int:
+    """How many records from the start of the list fit into one message; at least one if there is any."""
+    remaining, count = MAX_RECORDS_BYTES, 0
     for record in records:
-        room -= size(record)
-        if count and room < 0:
+        remaining -= size(record)
+        if count and remaining < 0:
             break
         count += 1
     return count
--- a/tests/authority_defects.py
+++ b/tests/authority_defects.py
@@ -1,94 +1,94 @@
-"""Planted defects: each takes away one of the things that the promises rest on."""
+"""Planted defects: each removes one of the mechanisms that the safety of the authority depends on."""
 
 from __future__ import annotations
 
 from aspenrill.fleet.authority import AuthorityPart
 from aspenrill.fleet.authority import election as election_module
 from aspenrill.fleet.authority import part as part_module
-from aspenrill.fleet.authority.tenure import Tenure
+from aspenrill.fleet.authority.leadership import Leadership
 from aspenrill.fleet.authority.voter import Voter
 from aspenrill.fleet.authority.wire import Promise
 from aspenrill.fleet.interface import Store
 
 
-class AnswersBeforeTheDisk(AuthorityPart):
+class AnswersBeforeStoring(AuthorityPart):
     def on_message(self, now, sender, incarnation, body):
         return sorted(super().on_message(now, sender, incarnation, body), key=lambda e: isinstance(e, Store))
 
 
-class ForgetsItsPromise(Voter):
+class ForgetsPromise(Voter):
     def load(self, now, stored):
         effects = super().load(now, stored)
-        self.promise, self.until = Promise(), now
+        self.promise, self.lease_until = Promise(), now
         return effects
 
 
-class WaitsForNothingAfterRestart(Voter):
+class IgnoresLeaseAfterRestart(Voter):
     def load(self, now, stored):
         effects = super().load(now, stored)
-        self.until = now
+        self.lease_until = now
         return effects
 
 
-class VotesWithoutItsDisk(Voter):
+class VotesAfterDiskLoss(Voter):
     def load(self, now, stored):
         effects = super().load(now, stored)
         self.promise = self.promise or Promise()
         return effects
 
 
-class EndsItsGrantsEarly(Voter):
-    def ask(self, now, who, life, ask):
-        granted = super().ask(now, who, life, ask)
-        self.until = min(self.until, now + 0.5 * ask.span)
+class EndsGrantsEarly(Voter):
+    def request_lease(self, now, name, incarnation, request):
+        granted = super().request_lease(now, name, incarnation, request)
+        self.lease_until = min(self.lease_until, now + 0.5 * request.lease)
         return granted
 
 
-class ChecksNoEpoch(Voter):
-    def accepts(self, who, life, epoch):
+class IgnoresEpochs(Voter):
+    def has_promised_to(self, name, incarnation, epoch):
         return self.promise is not None
 
 
-class CountsFromReceipt(Tenure):
-    def voted(self, now, voter, vote):
-        if vote.round in self.sent:
-            self.sent[vote.round] = now
-        super().voted(now, voter, vote)
+class CountsLeaseFromReceipt(Leadership):
+    def record_vote(self, now, voter, vote):
+        if vote.round in self.round_sent_at:
+            self.round_sent_at[vote.round] = now
+        super().record_vote(now, voter, vote)
 
 
-class AgreesByAMinority(Tenure):
-    def agreed(self):
-        return max(self.acked.values(), default=0)
+class AgreesByMinority(Leadership):
+    def agreed_number(self):
+        return max(self.acknowledged_to.values(), default=0)
 
 
-class ReadsNoMajority(Tenure):
-    def complete(self, now, last):
-        return self.holds(now)
+class RecoversWithoutMajority(Leadership):
+    def recovery_complete(self, now, last):
+        return self.holds_lease(now)
 
 
-class KeepsItsLease(Tenure):
-    def holds(self, now):
-        return self.end() > float("-inf")
+class KeepsExpiredLease(Leadership):
+    def holds_lease(self, now):
+        return self.lease_end() > float("-inf")
 
 
 ALL = [
-    AnswersBeforeTheDisk,
-    ForgetsItsPromise,
-    WaitsForNothingAfterRestart,
-    VotesWithoutItsDisk,
-    EndsItsGrantsEarly,
-    ChecksNoEpoch,
-    CountsFromReceipt,
-    AgreesByAMinority,
-    ReadsNoMajority,
-    KeepsItsLease,
+    AnswersBeforeStoring,
+    ForgetsPromise,
+    IgnoresLeaseAfterRestart,
+    VotesAfterDiskLoss,
+    EndsGrantsEarly,
+    IgnoresEpochs,
+    CountsLeaseFromReceipt,
+    AgreesByMinority,
+    RecoversWithoutMajority,
+    KeepsExpiredLease,
 ]
 
 
 def plant(monkeypatch, defect):
-    """Puts it in place; the part's class to use."""
+    """Installs the defect; returns the component class to use."""
     if issubclass(defect, Voter):
         monkeypatch.setattr(part_module, "Voter", defect)
-    elif issubclass(defect, Tenure):
-        monkeypatch.setattr(election_module, "Tenure", defect)
+    elif issubclass(defect, Leadership):
+        monkeypatch.setattr(election_module, "Leadership", defect)
     return defect if issubclass(defect, AuthorityPart) else AuthorityPart
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -1,4 +1,4 @@
-"""The authority's parts one by one: configuration, disk, table, leaving, late comers, malformed messages."""
+"""Authority: configuration, stored state, table, leaving, members that are behind, malformed messages."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
         {"voters": ("a",), "margin": -1.0},
     ],
 )
-def test_rules_name_the_field(bad):
+def test_invalid_rules_name_the_field(bad):
     with pytest.raises(FleetConfigTrouble, match=list(bad)[-1]):
         Rules(**bad)
 
 
 def test_a_new_coordinator_waits_for_its_predecessors_leases():
     w = World(3, 5, 3)
-    assert w.until(w.settled, 5)  # nobody was before it
+    assert w.until(w.settled, 5)  # no predecessor to wait for
     assert w.until(w.ready, 30)
     w.crash(w.coordinator().name)
     assert w.until(lambda: w.coordinator() is not None, 10)
@@ -44,39 +44,39 @@
     assert w.now - start > w.rules.longest
 
 
-def test_who_leaves_hands_over_at_once():
+def test_leaving_coordinator_hands_over_at_once():
     w = World(5, 5, 3)
     assert w.until(w.ready, 30)
     w.run(5)
-    gone = w.coordinator().name
-    w.leave(gone)
+    leaver = w.coordinator().name
+    w.leave(leaver)
     assert w.until(lambda: w.coordinator() is not None, w.rules.lease * 0.6)
 
 
-def test_a_healed_partition_disturbs_no_coordinator():
+def test_rejoining_voter_does_not_displace_coordinator():
     w = World(7, 3, 3)
     assert w.until(w.ready, 30)
-    name, epoch = w.coordinator().name, max(w.terms)
+    name, epoch = w.coordinator().name, max(w.epoch_holders)
     cut = next(other for other in w.names if other != name)
     w.net.part([cut])
     w.run(20)
     w.net.heal()
     w.run(20)
-    assert w.coordinator().name == name and max(w.terms) == epoch
+    assert w.coordinator().name == name and max(w.epoch_holders) == epoch
 
 
-def test_a_full_disk_ends_voting_and_is_named_once():
+def test_full_disk_stops_voting_and_is_logged_once():
     w = World(9, 3, 3)
     assert w.until(w.ready, 30)
     name = w.coordinator().name
     w.disk(name, "full")
     w.demand(0.1, 3, 10)
     w.run(10)
-    assert w.coordinator().name != name and w.until(w.same, 20)
+    assert w.coordinator().name != name and w.until(w.converged, 20)
     assert sum("fleet-disk" in note for note in w.procs[name].notes) == 1
 
 
-def test_damaged_records_are_refused_whole():
+def test_damaged_stored_records_are_refused():
     w = World(11, 3, 3)
     assert w.until(w.ready, 30)
     w.crash("p1")
@@ -84,7 +84,7 @@
     assert isinstance(w.procs["p1"].refused, StateTrouble)
 
 
-def test_a_voter_that_lost_its_disk_is_admitted_with_the_log():
+def test_voter_that_lost_its_disk_is_admitted_with_the_log():
     w = World(13, 3, 3)
     assert w.until(w.ready, 30)
     w.demand(0.1, 20, 5)
@@ -94,13 +94,13 @@
     w.start(lost, disk="lost")
     part = w.procs[lost].parts[0]
     w.run(2)
-    assert part.voter.promise is None  # its former grants may still run
+    assert part.voter.promise is None  # leases it granted before may still run
     w.run(8)
     assert part.voter.promise is not None and part.table.last == max(w.ledger)
 
 
-def test_late_comers_hear_what_is_in_use_and_what_has_ended(monkeypatch):
-    monkeypatch.setattr(table_module, "MOST_ENDED", 5)
+def test_late_member_learns_live_and_deleted_keys(monkeypatch):
+    monkeypatch.setattr(table_module, "MAX_TOMBSTONES", 5)
     w = World(15, 4, 3)
     assert w.until(w.ready, 30)
     w.propose("stays")
@@ -115,35 +115,35 @@
     w.net.heal()
     cut_off = w.procs["p3"].parts[0]
     assert cut_off.table.last == 2 < w.coordinator().parts[0].table.floor
-    w.stands_in = "p3"  # its endings come under numbers of their own
+    w.table_receiver = "p3"  # its tombstones get numbers of their own
     assert w.until(lambda: cut_off.table.last == max(w.ledger), 20)
     live = {key for (_, key), held in cut_off.table.latest.items() if held.body}
     assert live == {"stays"}
 
 
-def test_chunks_in_any_order_make_the_same_table():
+def test_chunks_in_any_order_yield_the_same_table():
     rng = random.Random(1)
-    whole = Table()
+    complete = Table()
     for number in range(1, 200):
-        whole.apply([record(number, f"key{rng.randrange(30)}", rng.choice((b"", b"y" * 300)))], number)
+        complete.apply([record(number, f"key{rng.randrange(30)}", rng.choice((b"", b"y" * 300)))], number)
     chunks, after = [], 0
-    while after < whole.last:
-        chunks.append(whole.chunk(after, 1))
+    while after < complete.last:
+        chunks.append(complete.chunk(after, 1))
         after = chunks[-1].to
     late = Table()
-    while late.last < whole.last:
+    while late.last < complete.last:
         chunk = rng.choice(chunks)
         if chunk.after <= late.last < chunk.to:
             late.apply(chunk.records, chunk.to)
-    assert late.latest == whole.latest and all(len(encode(chunk)) <= MOST_BODY for chunk in chunks)
+    assert late.latest == complete.latest and all(len(encode(chunk)) <= MOST_BODY for chunk in chunks)
 
 
-def test_a_whole_table_that_cannot_be_one_is_refused():
+def test_impossible_table_transfer_is_refused():
     table = Table()
     table.apply([record(1, "a"), record(2, "b"), record(3, "c")], 3)
     assert table.replace([record(5, "d")], 5, 4) is None and table.last == 3
     change = table.replace([record(9, "d")], 9, 8)
-    assert [(r.number, r.key, bool(r.body)) for r in change.news] == [
+    assert [(r.number, r.key, bool(r.body)) for r in change.new_records] == [
         (4, "a", False),
         (5, "b", False),
         (6, "c", False),
@@ -151,7 +151,7 @@
     ]
 
 
-def test_the_largest_record_fits_and_a_larger_one_is_left_out():
+def test_largest_record_fits_and_larger_one_is_dropped():
     largest = Record(2**40, 2**40, "k" * 24, "y" * 160, b"x" * 600)
     high = 2**40
     for message in (Chunk(high, high, high, high, high, [largest]), Accept(high, high, high, [largest])):
@@ -174,10 +174,10 @@
         for proc in w.running:
             w.do(proc.name, lambda p, b=body: p.parts[0].on_message(p.clock(), "p1", p.incarnation, b))
     w.run(12)
-    assert w.until(w.same, 20)
+    assert w.until(w.converged, 20)
 
 
-def test_lower_epochs_are_not_fresh():
+def test_lower_epochs_are_refused():
     w = World(21, 1, 1)
     w.run(5)
     part: AuthorityPart = w.procs["p0"].parts[0]
--- a/tests/test_authority_world.py
+++ b/tests/test_authority_world.py
@@ -1,5 +1,5 @@
-"""The authority on a virtual clock: promises checked after every step, and each checker shown to catch a
-defect."""
+"""The authority on a virtual clock: invariants checked after every step, and planted defects that the checks
+must catch."""
 
 from __future__ import annotations
 
@@ -16,15 +16,17 @@
 from aspenrill.fleet.interface import Inform, Store
 from standins.faults import Link, schedule
 
-CAUGHT = "two |another one|used twice|not all know|changed"
+VIOLATIONS = "two |another one|used twice|not all know|changed"
 KINDS = ("crash", "restart", "pause", "part", "cut", "weather", "leave", "trip", "disk")
 
 
 def play(seed: int, kind=AuthorityPart, size: int = 3, voters: int = 3, seconds: float = 40.0) -> World:
-    """Faults and records for 0.7 of the time, then calm: all agree in the end. Only p1 ever loses its disk:
-    that two do is more than the fleet can stand."""
+    """Faults and proposals for 0.7 of the time, then none: all processes must agree in the end.
+
+    Only p1 ever loses its disk; the protocol does not tolerate two lost disks.
+    """
     world = World(seed, size, voters, kind)
-    assert world.until(lambda: world.ready(), 60), "nobody coordinates at the start"
+    assert world.until(lambda: world.ready(), 60), "no coordinator at the start"
     script = []
     for at, what, *args in schedule(seed, world.names, seconds, KINDS, gap=1.0):
         if what == "start" and args[1:] and args[1] != "kept":
@@ -34,40 +36,40 @@
     world.demand(0.15, 10, 0.7 * seconds)
     world.run(0.7 * seconds + 0.5)
     for proc in world.running:
-        if proc.parts[0].broken:
+        if proc.parts[0].disk_failed:
             world.crash(proc.name)
             world.start(proc.name)
-    assert world.until(world.settled, 60), "nobody coordinates after the faults"
-    assert world.until(world.same, 30), "not all know all that was agreed"
+    assert world.until(world.settled, 60), "no coordinator after the faults"
+    assert world.until(world.converged, 30), "not all know all agreed records"
     return world
 
 
 @pytest.mark.parametrize(("size", "voters"), [(3, 3), (5, 1), (6, 5), (9, 3)])
-def test_two_never_act_at_once_and_nothing_agreed_is_lost(size, voters):
+def test_one_coordinator_at_a_time_and_no_agreed_record_lost(size, voters):
     records = sum(len(play(seed, size=size, voters=voters).ledger) for seed in range(8))
     assert records > 100
 
 
 @settings(derandomize=True, deadline=None, max_examples=25, database=None)
 @given(st.integers(0, 10**9), st.integers(3, 9), st.sampled_from((1, 3)))
-def test_the_same_for_any_seed(seed, size, voters):
+def test_invariants_hold_for_any_seed(seed, size, voters):
     play(seed, size=size, voters=voters)
 
 
 @pytest.mark.parametrize(
     "defect",
     [
-        defects.ForgetsItsPromise,
-        defects.VotesWithoutItsDisk,
-        defects.EndsItsGrantsEarly,
-        defects.AgreesByAMinority,
-        defects.ReadsNoMajority,
-        defects.KeepsItsLease,
+        defects.ForgetsPromise,
+        defects.VotesAfterDiskLoss,
+        defects.EndsGrantsEarly,
+        defects.AgreesByMinority,
+        defects.RecoversWithoutMajority,
+        defects.KeepsExpiredLease,
     ],
 )
-def test_a_planted_defect_is_caught_by_schedules(monkeypatch, defect):
+def test_random_schedules_catch_planted_defects(monkeypatch, defect):
     kind = defects.plant(monkeypatch, defect)
-    with pytest.raises(AssertionError, match=CAUGHT):
+    with pytest.raises(AssertionError, match=VIOLATIONS):
         for seed in range(150):
             play(seed, kind)
 
@@ -79,18 +81,18 @@
 @pytest.mark.parametrize(
     "defect",
     [
-        defects.AnswersBeforeTheDisk,
-        defects.ForgetsItsPromise,
-        defects.WaitsForNothingAfterRestart,
-        defects.CountsFromReceipt,
-        defects.KeepsItsLease,
+        defects.AnswersBeforeStoring,
+        defects.ForgetsPromise,
+        defects.IgnoresLeaseAfterRestart,
+        defects.CountsLeaseFromReceipt,
+        defects.KeepsExpiredLease,
     ],
 )
-def test_a_planted_defect_is_caught_by_the_model(monkeypatch, defect):
+def test_model_catches_planted_defects(monkeypatch, defect):
     defects.plant(monkeypatch, defect)
-    late = defect is defects.AnswersBeforeTheDisk
-    model = Model(1, 4, stores_last if late else list)
-    with pytest.raises(AssertionError, match=CAUGHT):
+    stores_late = defect is defects.AnswersBeforeStoring
+    model = Model(1, 4, stores_last if stores_late else list)
+    with pytest.raises(AssertionError, match=VIOLATIONS):
         for seed in range(3000):
             model.walk(random.Random(seed), 40)
 
@@ -99,14 +101,14 @@
     assert Model(0, 1).explore() == (12444, True)
 
 
-def test_random_schedules_of_the_model_hold():
+def test_invariants_hold_in_random_schedules_of_the_model():
     model = Model(1, 4)
     for seed in range(300):
         model.walk(random.Random(seed), 40)
 
 
-def stale_order(kind=AuthorityPart) -> World:
-    """A record of a former epoch comes to a voter that has accepted, and helped to agree, one of a later."""
+def stale_epoch_world(kind=AuthorityPart) -> World:
+    """A delayed record of an earlier epoch reaches a voter that has accepted one of a later epoch."""
     world = World(1, 3, 3, kind)
     assert world.until(lambda: world.ready(), 60)
     old = world.coordinator().name
@@ -115,7 +117,7 @@
     world.net.cut(new, old)
     world.net.link(old, voter, Link(delay_ms=12_000))
     world.propose("key")
-    world.procs[voter].parts[0].election.leaving = True  # so that the other stands
+    world.procs[voter].parts[0].election.leaving = True  # so that the other process becomes the candidate
 
     def cut(proc, part, effect):
         if proc.name == new and isinstance(effect, Inform):
@@ -135,6 +137,6 @@
 
 
 def test_an_order_of_a_lower_epoch_is_refused(monkeypatch):
-    stale_order()
-    with pytest.raises(AssertionError, match=CAUGHT):
-        stale_order(defects.plant(monkeypatch, defects.ChecksNoEpoch))
+    stale_epoch_world()
+    with pytest.raises(AssertionError, match=VIOLATIONS):
+        stale_epoch_world(defects.plant(monkeypatch, defects.IgnoresEpochs))
