--- a/aspenrill/fleet/groups/__init__.py
+++ b/aspenrill/fleet/groups/__init__.py
@@ -1,5 +1,5 @@
-"""Table groups: what is written to each, how it will grow, and splits of those that outgrow an engine.
+"""Table groups: counts of writes, growth forecasts, and splits of groups that outgrow an engine.
 
-Nothing here is imported unless the fleet's groups are switched on. `part.Groups` is the part that drivers
-run.
+Nothing here is imported unless groups are enabled in the fleet's settings. `part.Groups` is the component
+that drivers run.
 """
--- a/aspenrill/fleet/groups/change.py
+++ b/aspenrill/fleet/groups/change.py
@@ -1,9 +1,9 @@
-"""Change points in a series of days: where its level jumped for good, not for a day.
+"""Detection of change points in a series of days: lasting level shifts, not single-day outliers.
 
-A two-window test: at each candidate the medians of up to a week before and after are compared, in units of
-the spread within the windows. Medians let a burst or a single stall pass. The last candidate of the
-strongest jump counts. Without noise a trend jumps by little from one week to the next, so a jump must be
-large in itself too.
+A two-window test compares the medians of up to a week before and after each candidate, in units of the
+spread within the windows. Medians ignore a burst or a single stall. The last candidate with the strongest
+shift counts. A trend without noise also differs slightly from one week to the next, so the shift must be
+large in absolute terms too.
 """
 
 from __future__ import annotations
@@ -11,35 +11,37 @@
 from collections.abc import Sequence
 from statistics import median
 
-WINDOW = 7  # days
-RATIO = 1.35  # a jump is at least that, up or down
-DEVIATIONS = 3.5
+WINDOW_DAYS = 7  # days
+MIN_RATIO = 1.35  # smallest ratio of the medians that counts as a shift
+MIN_DEVIATIONS = 3.5  # smallest shift in deviations
 
 
 def _score(before: list[float], after: list[float]) -> float:
-    """How many deviations apart; 0 where the jump is too small."""
+    """Distance of the medians in deviations; 0 if the shift is too small."""
     a, b = median(before), median(after)
-    if max(a, b) < RATIO * max(min(a, b), 1e-9):
+    if max(a, b) < MIN_RATIO * max(min(a, b), 1e-9):
         return 0.0
     spread = median([abs(v - a) for v in before] + [abs(v - b) for v in after])
     return abs(a - b) / max(1.5 * spread, 0.03 * max(a, b), 1e-9)
 
 
-def last_change(days: Sequence[float | None], least: int) -> int:
-    """The day from which on the level is another, 0 where it never changed; `least` days must have
-    followed."""
+def last_change(days: Sequence[float | None], min_days: int) -> int:
+    """Index of the first day after the last change point, 0 if there is none.
+
+    `min_days` known days are required on both sides.
+    """
     found = 0
     while True:
-        best, best_at = DEVIATIONS, None
-        for at in range(found + least, len(days) - least + 1):
-            before = [v for v in days[max(found, at - WINDOW) : at] if v is not None]
-            after = [v for v in days[at : at + WINDOW] if v is not None]
-            if len(before) < least or len(after) < least:
+        best, best_at = MIN_DEVIATIONS, None
+        for at in range(found + min_days, len(days) - min_days + 1):
+            before = [v for v in days[max(found, at - WINDOW_DAYS) : at] if v is not None]
+            after = [v for v in days[at : at + WINDOW_DAYS] if v is not None]
+            if len(before) < min_days or len(after) < min_days:
                 continue
-            # the steepest step between neighbours in time marks the day
+            # the largest step between adjacent days locates the change
             step = abs(after[0] - before[-1]) / (max(after[0], before[-1]) or 1)
             score = _score(before, after) + min(1.0, step)
-            if score > best and _score(before, after) > DEVIATIONS:
+            if score > best and _score(before, after) > MIN_DEVIATIONS:
                 best, best_at = score, at
         if best_at is None:
             return found
--- a/aspenrill/fleet/groups/counts.py
+++ b/aspenrill/fleet/groups/counts.py
@@ -1,322 +1,373 @@
 """Grow-only counters by (origin, incarnation, group, hour), merged by the larger value.
 
-A merge is commutative, associative and idempotent, so repeats, disorder and restarts do no harm (a
+Merging is commutative, associative and idempotent, so repetition, reordering and restarts are harmless (a
 G-Counter: Shapiro, Preguica, Baquero, Zawirski, "Conflict-free replicated data types", 2011). An origin
-seals each hour once it is over: so zero is told, and what is not sealed is missing, never zero.
+seals each hour once it is over, which distinguishes zero from missing: an unsealed hour is missing.
 
-An hour is closed when all origins alive in it have sealed it, or after a day. What closes is folded: sealed
-parts are final, so their cells become one total and only their origins are remembered; a repeat is known by
-its origin. A later value of an origin not folded re-opens the hour as a revision. Hours are of UTC, since
-1970.
+An hour is closed when all origins alive in it have sealed it, or after a day. Closed hours are folded: sealed
+counters are final, so they become one total and only their origins are remembered, by which repeats are
+recognised. A later value of an origin that is not folded reopens the hour as a revision. Hours are UTC,
+counted from 1970.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
 
-from .hours import NONE, CountRules, HourBook, Key, Origin, Told, Value, larger, plus
-from .records import SEAL, Cell, Kept, Life, pack, read
+from .hours import (
+    ZERO,
+    CountRules,
+    HourCounters,
+    Key,
+    Origin,
+    OriginCounters,
+    Value,
+    add_values,
+    merge_values,
+)
+from .records import SEAL, Cell, HourRecord, OwnCounters, pack, read
 
 
 class Counts:
-    """Own counting (`add`: a dictionary and three sums), and all that was told, by hour."""
+    """The counters of this process (`add` is cheap) and those received from others, by hour."""
 
     def __init__(self, rules: CountRules, name: str, incarnation: int, hour: int) -> None:
-        self.rules, self.me, self.hour = rules, (name, incarnation), hour
-        self.hours: dict[int, HourBook] = {}
-        self.own: dict[int, list[int]] = {}  # of the hour now
-        self.touched: set[int] = set()
-        self.usual: dict[str, float] = {}  # bytes an hour by name, decayed
+        self.rules, self.own_origin, self.hour = rules, (name, incarnation), hour
+        self.hours: dict[int, HourCounters] = {}
+        self.own: dict[int, list[int]] = {}  # counters of the current hour by group
+        self.updated_groups: set[int] = set()
+        self.usual_bytes: dict[str, float] = {}  # bytes per hour by name, decaying mean
         self.groups: set[int] = set()
         self.cells = 0
-        self.turned_away = 0
-        self.changed: set[int] = set()  # hours not on disk as they are
+        self.rejected = 0
+        self.unsaved_hours: set[int] = set()  # hours whose state on disk is outdated
 
-    # ---- own counting ---------------------------------------------------------------------------------
+    # ---- counters of this process ---------------------------------------------------------------------
 
     def add(self, group: int, rows: int, size: int, work: int) -> None:
-        """A load has ended, or has written so much on: rows, bytes, core-milliseconds."""
+        """Adds what a load has written: rows, bytes, core-milliseconds of work."""
         value = self.own.get(group)
         if value is None:
-            if len(self.own) >= self.rules.most_groups:
-                self.turned_away += 1
+            if len(self.own) >= self.rules.max_groups:
+                self.rejected += 1
                 return
             value = self.own[group] = [0, 0, 0]
         value[0] += max(0, rows)
         value[1] += max(0, size)
         value[2] += max(0, work)
-        self.touched.add(group)
+        self.updated_groups.add(group)
 
     def flush(self) -> list[Key]:
-        """Own counters as they are now, among all the others; those that have grown."""
-        keys = [self._put(self.me, group, self.hour, tuple(self.own[group])) for group in self.touched]
-        self.touched.clear()
+        """Merges the own counters; the keys of those that have grown."""
+        keys = [
+            self._merge_value(self.own_origin, group, self.hour, tuple(self.own[group]))
+            for group in self.updated_groups
+        ]
+        self.updated_groups.clear()
         return [key for key in keys if key]
 
-    def turn(self, hour: int) -> list[Key]:
-        """To the hour now: those before it are sealed. A clock set back by little goes on with the hour
-        reached, one set back by more goes on where it was in the hour that it shows."""
+    def advance_to(self, hour: int) -> list[Key]:
+        """Advances to the current hour and seals the hours before it.
+
+        After a small step back of the wall clock the hour reached stays current. After a larger one the
+        counters of the hour that the clock shows are continued.
+        """
         keys: list[Key] = []
         if hour < self.hour - 1:
             keys += self.flush()
             self.hour = hour
-            told = self.hours[hour].told.get(self.me) if hour in self.hours else None
-            self.own = {group: list(value) for group, value in told.groups.items()} if told else {}
+            counters = self.hours[hour].origins.get(self.own_origin) if hour in self.hours else None
+            self.own = {group: list(value) for group, value in counters.groups.items()} if counters else {}
         while self.hour < hour:
             keys += self.seal()
             self.own.clear()
             alive = self.hours[self.hour].expected
-            self.hour = max(self.hour + 1, hour - self.rules.late)
-            if self.hour < hour:  # paused all through it: who was alive before is expected to tell
+            self.hour = max(self.hour + 1, hour - self.rules.accept_for)
+            if self.hour < hour:  # paused for whole hours: origins alive before are still expected
                 self.expect(alive)
         return keys
 
     def seal(self) -> list[Key]:
-        """The hour now is told whole: it is over, or this process leaves."""
+        """Seals the current hour: it is over, or this process leaves."""
         keys = self.flush()
-        keys += self.seal_for(self.me, self.hour)
+        keys += self.seal_for(self.own_origin, self.hour)
         return keys
 
     def seal_for(self, origin: Origin, hour: int) -> list[Key]:
-        """Seal an hour of this process, or of its former life."""
-        book = self.hours.get(hour)
-        told = (book.told.get(origin) if book else None) or Told()
-        key = self._put(origin, SEAL, hour, told.sums())
+        """Seals an hour of this process, or of its previous incarnation."""
+        bucket = self.hours.get(hour)
+        counters = (bucket.origins.get(origin) if bucket else None) or OriginCounters()
+        key = self._merge_value(origin, SEAL, hour, counters.seal_value())
         return [key] if key else []
 
-    # ---- what others tell -----------------------------------------------------------------------------
+    # ---- counters of other processes ------------------------------------------------------------------
 
     def merge(self, cell: Cell) -> Key | None:
-        """The key, where it was news."""
-        if (cell.origin, cell.incarnation) == self.me:
-            return None  # only this process counts for itself
-        return self._put(
+        """Merges a received cell; its key if it changed anything."""
+        if (cell.origin, cell.incarnation) == self.own_origin:
+            return None  # only this process updates its own counters
+        return self._merge_value(
             (cell.origin, cell.incarnation), cell.group, cell.hour, (cell.rows, cell.bytes, cell.work)
         )
 
-    def _put(self, origin: Origin, group: int, hour: int, value: Value) -> Key | None:
-        """The larger value; None where that changes nothing, is too old, or is more than is kept."""
-        reach = self.rules.late if origin[0] else self.rules.kept
-        book = self.hours.get(hour) or HourBook()
-        if not self.hour - reach <= hour <= self.hour + 1 or not self._room(origin, group, book):
-            self.turned_away += 1
+    def _merge_value(self, origin: Origin, group: int, hour: int, value: Value) -> Key | None:
+        """Merges a value; None if it changes nothing, is too old or exceeds a bound."""
+        max_age = self.rules.accept_for if origin[0] else self.rules.retention
+        bucket = self.hours.get(hour) or HourCounters()
+        if not self.hour - max_age <= hour <= self.hour + 1 or not self._fits(origin, group, bucket):
+            self.rejected += 1
             return None
-        if origin in book.folded or book.adopted and (origin[0] or origin[1] <= book.adopted):
+        if (
+            origin in bucket.folded
+            or bucket.adopted_count
+            and (origin[0] or origin[1] <= bucket.adopted_count)
+        ):
             return None
-        if not origin[0] and not book.adopted and (book.folded or any(o[0] for o in book.told)):
-            return None  # what this keeper has summed itself is not mixed with another's sum
-        told = book.told.get(origin) or Told()
-        old = told.seal if group == SEAL else told.groups.get(group)
-        new = value if old is None else larger(old, value)
+        if (
+            not origin[0]
+            and not bucket.adopted_count
+            and (bucket.folded or any(o[0] for o in bucket.origins))
+        ):
+            return None  # own sums are not mixed with a total of another collector
+        counters = bucket.origins.get(origin) or OriginCounters()
+        old = counters.seal if group == SEAL else counters.groups.get(group)
+        new = value if old is None else merge_values(old, value)
         if new == old:
             return None
-        self.hours[hour] = book
-        book.told[origin] = told
+        self.hours[hour] = bucket
+        bucket.origins[origin] = counters
         if group == SEAL:
-            told.seal = new
+            counters.seal = new
         else:
-            told.groups[group] = new
+            counters.groups[group] = new
             self.cells += old is None
             self.groups.add(group)
-        self._revise(hour, book, origin, told)
+        self._on_update(hour, bucket, origin, counters)
         return *origin, group, hour
 
-    def _room(self, origin: Origin, group: int, book: HourBook) -> bool:
-        fits = group == SEAL or group in self.groups or len(self.groups) < self.rules.most_groups
-        known = origin in book.told or len(book.told) < self.rules.most_origins
-        return fits and known and (self.cells < self.rules.most_cells or group == SEAL)
+    def _fits(self, origin: Origin, group: int, bucket: HourCounters) -> bool:
+        group_fits = group == SEAL or group in self.groups or len(self.groups) < self.rules.max_groups
+        known_origin = origin in bucket.origins or len(bucket.origins) < self.rules.max_origins
+        return group_fits and known_origin and (self.cells < self.rules.max_cells or group == SEAL)
 
-    def _revise(self, hour: int, book: HourBook, origin: Origin, told: Told) -> None:
-        """Something of the hour is new."""
+    def _on_update(self, hour: int, bucket: HourCounters, origin: Origin, counters: OriginCounters) -> None:
+        """Updates an hour after one of its counters has changed."""
         if not origin[0]:
-            if not told.whole():
+            if not counters.is_complete():
                 return
-            self.cells -= sum(len(t.groups) for t in book.told.values())
-            if not any(o[0] for o in book.told):
-                book.total, book.adopted, book.expected = dict(told.groups), origin[1], set()
-            book.told = {o: t for o, t in book.told.items() if o[0]}
-            self.cells += sum(len(t.groups) for t in book.told.values())
-        book.sums = None
-        book.revision += book.closed
-        book.closed = False
-        self.changed.add(hour)
+            self.cells -= sum(len(t.groups) for t in bucket.origins.values())
+            if not any(o[0] for o in bucket.origins):
+                bucket.total, bucket.adopted_count, bucket.expected = dict(counters.groups), origin[1], set()
+            bucket.origins = {o: t for o, t in bucket.origins.items() if o[0]}
+            self.cells += sum(len(t.groups) for t in bucket.origins.values())
+        bucket.cached_totals = None
+        bucket.revision += bucket.closed
+        bucket.closed = False
+        self.unsaved_hours.add(hour)
 
     # ---- closing --------------------------------------------------------------------------------------
 
     def expect(self, origins: Iterable[Origin]) -> None:
-        """Those alive in the hour now; each has to seal it. A day is the most that one is waited for."""
-        book = self.hours.setdefault(self.hour, HourBook())
-        fresh = set(origins) - book.expected
-        if fresh and len(book.expected) < self.rules.most_origins:
-            book.expected |= fresh
-            self.changed.add(self.hour)
-
-    def close(self, held: frozenset[int] = frozenset()) -> list[int]:
-        """Close and fold what is due, forget what is too old; the hours that are closed anew. `held`: hours
-        of which another keeper still lacks something."""
-        anew = []
+        """Origins alive in the current hour, each of which has to seal it within a day."""
+        bucket = self.hours.setdefault(self.hour, HourCounters())
+        new_origins = set(origins) - bucket.expected
+        if new_origins and len(bucket.expected) < self.rules.max_origins:
+            bucket.expected |= new_origins
+            self.unsaved_hours.add(self.hour)
+
+    def close(self, unsent: frozenset[int] = frozenset()) -> list[int]:
+        """Closes and folds hours that are due and drops expired ones; the hours that were closed.
+
+        `unsent` are hours with counters that another collector has not acknowledged.
+        """
+        closed_hours = []
         for hour in sorted(self.hours):
-            book = self.hours[hour]
+            bucket = self.hours[hour]
             age = self.hour - hour
-            if age > self.rules.kept:
-                self.cells -= sum(len(t.groups) for t in book.told.values())
+            if age > self.rules.retention:
+                self.cells -= sum(len(t.groups) for t in bucket.origins.values())
                 del self.hours[hour]
-                self.changed.add(hour)
+                self.unsaved_hours.add(hour)
                 continue
-            looked = book.adopted or book.expected  # else this keeper was not there, and knows not who was
-            if age > 0 and not book.closed and (age > self.rules.closing or looked and not book.missing()):
-                book.closed = True
-                anew.append(hour)
-                self.changed.add(hour)
-                self._learn(book)
-                book.lack = self._lack({name for name, _ in book.missing()}) if looked else 1.0
+            # a collector that was not running in that hour does not know its origins
+            was_running = bucket.adopted_count or bucket.expected
             if (
-                book.closed
-                and book.told
-                and age >= self.rules.detail
-                and (hour not in held or age > self.rules.closing)
+                age > 0
+                and not bucket.closed
+                and (age > self.rules.close_after or was_running and not bucket.missing_origins())
             ):
-                self._fold(book, age > self.rules.late)
-        return anew
-
-    def _fold(self, book: HourBook, final: bool) -> None:
-        """Detail into the total: of what is sealed, or of all where nothing more is taken."""
-        lacking = book.missing()
-        for origin in [o for o, t in book.told.items() if o[0] and (final or t.whole())]:
-            told = book.told.pop(origin)
-            self.cells -= len(told.groups)
-            for group, value in told.groups.items():
-                book.total[group] = plus(book.total.get(group, NONE), value)
-            if told.whole():
-                book.folded.add(origin)
+                bucket.closed = True
+                closed_hours.append(hour)
+                self.unsaved_hours.add(hour)
+                self._update_usual_bytes(bucket)
+                bucket.missing_share = (
+                    self._missing_share({name for name, _ in bucket.missing_origins()})
+                    if was_running
+                    else 1.0
+                )
+            if (
+                bucket.closed
+                and bucket.origins
+                and age >= self.rules.fold_after
+                and (hour not in unsent or age > self.rules.close_after)
+            ):
+                self._fold(bucket, age > self.rules.accept_for)
+        return closed_hours
+
+    def _fold(self, bucket: HourCounters, final: bool) -> None:
+        """Adds complete origins to the total; all origins if `final`, when later values are refused."""
+        missing = bucket.missing_origins()
+        for origin in [o for o, t in bucket.origins.items() if o[0] and (final or t.is_complete())]:
+            counters = bucket.origins.pop(origin)
+            self.cells -= len(counters.groups)
+            for group, value in counters.groups.items():
+                bucket.total[group] = add_values(bucket.total.get(group, ZERO), value)
+            if counters.is_complete():
+                bucket.folded.add(origin)
         if final:
-            book.expected, book.adopted = lacking, book.adopted or max(1, len(book.folded))
-            book.folded = set()
-            self.cells -= sum(len(t.groups) for t in book.told.values())
-            book.told.clear()
-
-    def _learn(self, book: HourBook) -> None:
-        """Each name's usual bytes an hour: a decayed mean over some days."""
-        for (name, _), told in book.told.items():
-            if name and told.whole() and (name in self.usual or len(self.usual) < self.rules.most_origins):
-                size = float(sum(v[1] for v in told.groups.values()))
-                self.usual[name] = 0.98 * self.usual.get(name, size) + 0.02 * size
-
-    def _lack(self, names: set[str]) -> float:
-        """The share of an hour that these usually write; who writes little counts as a tenth of the mean."""
-        mean = sum(self.usual.values()) / len(self.usual) if self.usual else 1.0
-        lacking = sum(max(self.usual.get(name, mean), mean / 10) for name in names)
-        there = sum(value for name, value in self.usual.items() if name not in names)
-        return lacking / (lacking + there) if lacking > 0 else float(bool(names))
-
-    def heard(self, hour: int) -> bool:
-        """Whether the hour is known: closed, and what is missing of it does not matter."""
-        book = self.hours.get(hour)
-        return book is not None and book.closed and book.lack <= self.rules.tolerated
+            bucket.expected, bucket.adopted_count = (
+                missing,
+                bucket.adopted_count or max(1, len(bucket.folded)),
+            )
+            bucket.folded = set()
+            self.cells -= sum(len(t.groups) for t in bucket.origins.values())
+            bucket.origins.clear()
+
+    def _update_usual_bytes(self, bucket: HourCounters) -> None:
+        """Updates the usual bytes per hour of each name, a mean that decays over some days."""
+        for (name, _), counters in bucket.origins.items():
+            if (
+                name
+                and counters.is_complete()
+                and (name in self.usual_bytes or len(self.usual_bytes) < self.rules.max_origins)
+            ):
+                size = float(sum(v[1] for v in counters.groups.values()))
+                self.usual_bytes[name] = 0.98 * self.usual_bytes.get(name, size) + 0.02 * size
+
+    def _missing_share(self, names: set[str]) -> float:
+        """The share of bytes that these names usually write; each counts for at least a tenth of the mean."""
+        mean = sum(self.usual_bytes.values()) / len(self.usual_bytes) if self.usual_bytes else 1.0
+        missing = sum(max(self.usual_bytes.get(name, mean), mean / 10) for name in names)
+        present = sum(value for name, value in self.usual_bytes.items() if name not in names)
+        return missing / (missing + present) if missing > 0 else float(bool(names))
+
+    def is_known(self, hour: int) -> bool:
+        """Whether the hour is closed and no significant share of it is missing."""
+        bucket = self.hours.get(hour)
+        return bucket is not None and bucket.closed and bucket.missing_share <= self.rules.max_missing_share
 
     def series(self, group: int, field_: int) -> tuple[int, list[float | None]]:
-        """The first hour known, and what was written in each from then on to the last one that is over (0:
-        rows, 1: bytes, 2: work). None is missing."""
+        """The first hour, and the values of all hours from it to the last completed one; None if missing.
+
+        `field_` is 0 for rows, 1 for bytes, 2 for work. Values are scaled up by the missing share.
+        """
         if not self.hours:
             return self.hour, []
         first = min(self.hours)
         return first, [
-            self.hours[h].totals().get(group, NONE)[field_] / (1 - self.hours[h].lack)
-            if self.heard(h)
+            self.hours[h].totals().get(group, ZERO)[field_] / (1 - self.hours[h].missing_share)
+            if self.is_known(h)
             else None
             for h in range(first, self.hour)
         ]
 
-    # ---- out of and into other processes and lives ----------------------------------------------------
+    # ---- exchange with other processes and the disk ---------------------------------------------------
 
     def cell(self, key: Key) -> Cell | None:
-        """As it is now; None where it is folded meanwhile."""
+        """The current cell of a key; None if it was folded meanwhile."""
         *origin, group, hour = key
-        book = self.hours.get(hour)
-        if book is None:
+        bucket = self.hours.get(hour)
+        if bucket is None:
             return None
         if not origin[0]:
-            return self._total(book, group, hour) if origin[1] == book.parts() else None
-        told = book.told.get((origin[0], origin[1]))
-        value = told and (told.seal if group == SEAL else told.groups.get(group))
+            return self._total(bucket, group, hour) if origin[1] == bucket.origin_count() else None
+        counters = bucket.origins.get((origin[0], origin[1]))
+        value = counters and (counters.seal if group == SEAL else counters.groups.get(group))
         return Cell(*key, *value) if value else None
 
-    def _total(self, book: HourBook, group: int, hour: int) -> Cell | None:
-        totals = book.totals()
+    def _total(self, bucket: HourCounters, group: int, hour: int) -> Cell | None:
+        totals = bucket.totals()
         if group != SEAL:
-            return Cell("", book.parts(), group, hour, *totals[group]) if group in totals else None
-        return Cell("", book.parts(), SEAL, hour, *Told(totals).sums())
+            return Cell("", bucket.origin_count(), group, hour, *totals[group]) if group in totals else None
+        return Cell("", bucket.origin_count(), SEAL, hour, *OriginCounters(totals).seal_value())
 
     def keys(self) -> Iterator[Key]:
-        """Of all that is in detail."""
-        for hour, book in self.hours.items():
-            for origin, told in book.told.items():
-                yield from ((*origin, group, hour) for group in told.groups)
-                if told.seal is not None:
+        """The keys of all cells that are not folded."""
+        for hour, bucket in self.hours.items():
+            for origin, counters in bucket.origins.items():
+                yield from ((*origin, group, hour) for group in counters.groups)
+                if counters.seal is not None:
                     yield *origin, SEAL, hour
 
     def total_keys(self, hours: Iterable[int]) -> Iterator[Key]:
-        """Of the totals of those of these hours that are known."""
+        """The keys of the totals of these hours, if known."""
         for hour in hours:
-            book = self.hours[hour]
-            if self.heard(hour) and book.parts():
-                yield from (("", book.parts(), group, hour) for group in (*book.totals(), SEAL))
+            bucket = self.hours[hour]
+            if self.is_known(hour) and bucket.origin_count():
+                yield from (("", bucket.origin_count(), group, hour) for group in (*bucket.totals(), SEAL))
 
     def record(self, hour: int) -> bytes | None:
-        """An hour for the disk; None where it is kept no more. Totals stand as cells of an empty origin."""
-        book = self.hours.get(hour)
-        if book is None:
+        """The stored form of an hour; None if it was dropped. Totals are cells with an empty origin."""
+        bucket = self.hours.get(hour)
+        if bucket is None:
             return None
-        cells = [Cell("", book.adopted, g, hour, *v) for g, v in book.total.items()]
-        cells += [Cell(*o, g, hour, *v) for o, t in book.told.items() if o[0] for g, v in t.groups.items()]
-        cells += [Cell(*o, SEAL, hour, *t.seal) for o, t in book.told.items() if o[0] and t.seal]
+        cells = [Cell("", bucket.adopted_count, g, hour, *v) for g, v in bucket.total.items()]
+        cells += [
+            Cell(*o, g, hour, *v) for o, t in bucket.origins.items() if o[0] for g, v in t.groups.items()
+        ]
+        cells += [Cell(*o, SEAL, hour, *t.seal) for o, t in bucket.origins.items() if o[0] and t.seal]
         return pack(
-            Kept(
-                1, hour, book.revision, tuple(sorted(book.folded)), tuple(sorted(book.expected)), tuple(cells)
+            HourRecord(
+                1,
+                hour,
+                bucket.revision,
+                tuple(sorted(bucket.folded)),
+                tuple(sorted(bucket.expected)),
+                tuple(cells),
             )
         )
 
     def restore(self, body: bytes) -> int | None:
-        """An hour from the disk; None where it is damaged or too old."""
-        kept = read(body, Kept)
-        if kept is None or not self.hour - self.rules.kept <= kept.hour <= self.hour:
+        """Restores an hour from disk; None if it is damaged or too old."""
+        record = read(body, HourRecord)
+        if record is None or not self.hour - self.rules.retention <= record.hour <= self.hour:
             return None
-        book = self.hours[kept.hour] = HourBook(
-            folded=set(kept.folded), expected=set(kept.expected), revision=kept.revision
+        bucket = self.hours[record.hour] = HourCounters(
+            folded=set(record.folded), expected=set(record.expected), revision=record.revision
         )
-        for cell in kept.cells:
+        for cell in record.cells:
             if cell.origin or cell.group == SEAL:
-                self._put(
+                self._merge_value(
                     (cell.origin, cell.incarnation), cell.group, cell.hour, (cell.rows, cell.bytes, cell.work)
                 )
             else:
-                book.total[cell.group] = (cell.rows, cell.bytes, cell.work)
-                book.adopted = cell.incarnation
+                bucket.total[cell.group] = (cell.rows, cell.bytes, cell.work)
+                bucket.adopted_count = cell.incarnation
                 self.groups.add(cell.group)
-        return kept.hour
+        return record.hour
 
-    def life(self) -> bytes:
-        """Own counters that no keeper may have yet, for the next life."""
+    def own_record(self) -> bytes:
+        """The stored form of own counters that may not have reached a collector, for the next incarnation."""
         cells = tuple(
-            Cell(*self.me, g, h, *v)
-            for h in range(self.hour - self.rules.closing, self.hour + 1)
-            if h in self.hours and self.me in self.hours[h].told
-            for g, v in self.hours[h].told[self.me].groups.items()
+            Cell(*self.own_origin, g, h, *v)
+            for h in range(self.hour - self.rules.close_after, self.hour + 1)
+            if h in self.hours and self.own_origin in self.hours[h].origins
+            for g, v in self.hours[h].origins[self.own_origin].groups.items()
         )
-        return pack(Life(1, self.me[1], self.hour, cells))
+        return pack(OwnCounters(1, self.own_origin[1], self.hour, cells))
 
-    def relive(self, body: bytes) -> list[Key]:
-        """Tell and seal what the former life has left, and the hours since then, in which nothing ran."""
-        life = read(body, Life)
-        if life is None or life.incarnation >= self.me[1]:
+    def restore_own(self, body: bytes) -> list[Key]:
+        """Restores and seals the counters of the previous incarnation, up to the current hour."""
+        record = read(body, OwnCounters)
+        if record is None or record.incarnation >= self.own_origin[1]:
             return []
-        former = self.me[0], life.incarnation
+        previous = self.own_origin[0], record.incarnation
         keys = [
-            self._put(former, c.group, c.hour, (c.rows, c.bytes, c.work))
-            for c in life.cells
-            if (c.origin, c.incarnation) == former
+            self._merge_value(previous, c.group, c.hour, (c.rows, c.bytes, c.work))
+            for c in record.cells
+            if (c.origin, c.incarnation) == previous
         ]
-        first = min((c.hour for c in life.cells), default=life.hour)
-        for hour in range(max(first, self.hour - self.rules.closing), self.hour + 1):
-            keys += self.seal_for(former, hour)
+        first = min((c.hour for c in record.cells), default=record.hour)
+        for hour in range(max(first, self.hour - self.rules.close_after), self.hour + 1):
+            keys += self.seal_for(previous, hour)
         return [key for key in keys if key]
--- a/aspenrill/fleet/groups/owner_file.py
+++ b/aspenrill/fleet/groups/owner_file.py
@@ -1,5 +1,4 @@
-"""The file by which the data's owner learns of splits: JSON, written whole or not at all. The only I/O
-here."""
+"""The JSON file that reports splits to the owner of the data; written atomically."""
 
 from __future__ import annotations
 
@@ -11,20 +10,20 @@
 from .splits import SplitNews
 
 
-def text(news: SplitNews) -> bytes:
-    """The file's content: all splits known, and the map by group."""
+def render(update: SplitNews) -> bytes:
+    """The file's content: all known splits, and the map by group."""
     return (
         msgspec.json.format(
             msgspec.json.encode(
                 {
-                    "map_version": news.map.version,
+                    "map_version": update.map.version,
                     "groups": {
                         str(group): {
                             "parts": shape.parts,
                             "since_version": shape.version,
                             "split": shape.split,
                         }
-                        for group, shape in sorted(news.map.shapes.items())
+                        for group, shape in sorted(update.map.shapes.items())
                     },
                     "splits": [
                         {
@@ -38,7 +37,7 @@
                             "engines": list(s.engines),
                             "reason": s.reason,
                         }
-                        for s in news.splits
+                        for s in update.splits
                     ],
                 }
             )
@@ -47,6 +46,6 @@
     )
 
 
-def write(path: Path, news: SplitNews) -> bool:
-    """Whether it was written anew. Raises DiskTrouble."""
-    return write_whole(path, text(news))
+def write(path: Path, update: SplitNews) -> bool:
+    """Writes the file if its content has changed; whether it did. Raises DiskTrouble."""
+    return write_whole(path, render(update))
--- a/aspenrill/fleet/groups/records.py
+++ b/aspenrill/fleet/groups/records.py
@@ -1,6 +1,6 @@
-"""What goes over the wire, into the log and onto disk: MessagePack of checked types.
+"""Messages, log records and stored records of table groups, as validated MessagePack.
 
-`read` gives None for whatever is not of the checked form, so that nothing malformed changes anything.
+`read` returns None for malformed input, so that it has no effect.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
-SEAL = -1  # in the place of a group: what an origin has told of an hour is all there is
-MOST = 2**53  # the largest count
-Count = Annotated[int, Meta(ge=0, le=MOST)]
-Hour = Annotated[int, Meta(ge=0, le=10_000_000)]  # of UTC, since 1970
+SEAL = -1  # in place of a group: the cell seals an hour of its origin
+MAX_COUNT = 2**53  # upper bound of a counter
+Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+Hour = Annotated[int, Meta(ge=0, le=10_000_000)]  # UTC, counted from 1970
 GroupId = Annotated[int, Meta(ge=0, le=2**31)]
 Name = Annotated[str, Meta(max_length=64)]
 Parts = Annotated[int, Meta(ge=1, le=1024)]
@@ -24,8 +24,8 @@
     """One counter of (origin, incarnation, group, hour): rows, bytes and work (core-milliseconds) written.
 
     With SEAL as group it is a seal: the number of the hour's cells, and the sums of their bytes and work.
-    With an empty origin it is of a total that another keeper has summed; the incarnation is the number of
-    its parts.
+    With an empty origin it belongs to a total of another collector; the incarnation is then the number of
+    origins in it.
     """
 
     origin: Name
@@ -37,30 +37,30 @@
     work: Count
 
 
-class Tell(Struct, frozen=True, array_like=True, tag=1, forbid_unknown_fields=True):
-    """Some cells; `number` comes back in `Heard`."""
+class CounterUpdate(Struct, frozen=True, array_like=True, tag=1, forbid_unknown_fields=True):
+    """Cells for a collector, which acknowledges them by `number` in `CounterAck`."""
 
     number: Count
     cells: Annotated[tuple[Cell, ...], Meta(max_length=64)]
 
 
-class Heard(Struct, frozen=True, array_like=True, tag=2, forbid_unknown_fields=True):
-    """All cells of a `Tell` are merged."""
+class CounterAck(Struct, frozen=True, array_like=True, tag=2, forbid_unknown_fields=True):
+    """All cells of a `CounterUpdate` are merged."""
 
     number: Count
 
 
-class Ask(Struct, frozen=True, array_like=True, tag=3, forbid_unknown_fields=True):
-    """A keeper that was away wants the totals of hours from `since` on."""
+class TotalsRequest(Struct, frozen=True, array_like=True, tag=3, forbid_unknown_fields=True):
+    """A collector that was down requests the totals of hours from `since` on."""
 
     since: Hour
 
 
-Message = Tell | Heard | Ask
+Message = CounterUpdate | CounterAck | TotalsRequest
 
 
 class Step(IntEnum):
-    """Of a split, in their order. DROPPED may follow any before SWITCHED."""
+    """Steps of a split, in order. DROPPED may follow any step before SWITCHED."""
 
     PROPOSED = 1
     AGREED = 2
@@ -71,14 +71,16 @@
 
     @property
     def over(self) -> bool:
-        """Nothing follows."""
+        """Whether no step follows."""
         return self >= Step.DONE
 
 
 class Split(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A record of kind "split": all of it at each step. `was` and `parts`: how many before it and after.
-    `at`: the first hour of its window, `before`: the hour in which the 90% line reaches the limit,
-    `engines`: homes old and new, as they were when it was planned."""
+    """Log record of kind "split", repeated in full at each step.
+
+    The group goes from `was` to `parts` parts. `at` is the first hour of the split's window, `before` the
+    hour in which the 90% forecast reaches the limit, `engines` the old and new home engines at planning time.
+    """
 
     id: Name
     group: GroupId
@@ -92,37 +94,39 @@
 
 
 class Shape(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A record of kind "map", its key the group: from this version of the map on, it has so many parts."""
+    """Log record of kind "map", keyed by group: its number of parts from this version of the map on."""
 
-    version: Annotated[int, Meta(ge=1, le=MOST)]
+    version: Annotated[int, Meta(ge=1, le=MAX_COUNT)]
     group: GroupId
     parts: Parts
     split: Name
 
 
 class Size(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A record of kind "size", its key the group: what it held at the end of an hour, so that hours long ago
-    need not be kept."""
+    """Log record of kind "size", keyed by group: its size at the end of an hour.
+
+    It replaces the counters of earlier hours.
+    """
 
     group: GroupId
     hour: Hour
     bytes: Annotated[float, Meta(ge=0, le=1e18)]
 
 
-class Held(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Told on the board by each process: the version of the map that it routes by."""
+class MapVersion(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """Gossip entry of each process: the version of the map that it routes by."""
 
     version: Count
 
 
-class CallOff(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Told on the board: splits that an operator has called off at this process."""
+class CancelledSplits(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """Gossip entry: ids of splits that an operator has cancelled at this process."""
 
     ids: Annotated[tuple[Name, ...], Meta(max_length=8)]
 
 
-class Kept(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """An hour on a keeper's disk: origins summed up already, and the cells."""
+class HourRecord(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """An hour on a collector's disk: its folded origins and its cells."""
 
     form: Literal[1]
     hour: Hour
@@ -132,8 +136,8 @@
     cells: tuple[Cell, ...]
 
 
-class Life(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A process's own counters on its own disk, for the life after it to tell and to seal."""
+class OwnCounters(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """A process's own counters on its disk, for its next incarnation to send and seal."""
 
     form: Literal[1]
     incarnation: Count
@@ -146,7 +150,7 @@
 
 
 def read(body: bytes, kind: type[T]) -> T | None:
-    """The checked form; None where it is not."""
+    """Decodes and validates; None if malformed."""
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except (msgspec.DecodeError, ValueError, RecursionError):  # a ValidationError is a DecodeError
--- a/aspenrill/fleet/groups/route.py
+++ b/aspenrill/fleet/groups/route.py
@@ -1,10 +1,10 @@
-"""Where the keys of a table group are at home, under one version of the map. Pure, and cheap: one hash a
-request.
+"""Affinity of the keys of a table group under one version of the map: one hash per request.
 
-A group of several parts is cut by the hash of a request's key. Part 0 stays where the whole group was, and
-each other part has an order of engines of its own: rendezvous hashing (Thaler, Ravishankar, "Using
-name-based mappings to increase hit rates", 1998), by the same figures as `state.Fleet.order`, so that a
-group never split is at home where it is without the fleet. A request keeps the map that it was sent under.
+A group of several parts is partitioned by the hash of a request's key. Part 0 keeps the affinity of the
+unsplit group, and each other part has an order of engines of its own: rendezvous hashing (Thaler,
+Ravishankar, "Using name-based mappings to increase hit rates", 1998). The weights are those of
+`state.Fleet.order`, so that the affinity of a group that was never split is the same without the fleet. A
+request keeps the map that it was sent under.
 """
 
 from __future__ import annotations
@@ -17,17 +17,19 @@
 
 from .records import Shape
 
-MOST_ORDERS = 1024  # of engines, kept by group and part
+MAX_CACHED_ORDERS = 1024  # cached orders of engines, by group and part
 
 
 def part_of(group: int, key: bytes | None, parts: int) -> int:
-    """The part that holds a key. Where the number of parts doubles, each key stays or moves to part + old
-    number. Without a key, part 0."""
+    """The part that holds a key; part 0 without a key.
+
+    When the number of parts doubles, each key stays or moves to its part + the old number.
+    """
     return 0 if key is None or parts == 1 else xxhash.xxh3_64_intdigest(key, group) % parts
 
 
 def order(group: int, part: int, engines: Sequence[str]) -> tuple[str, ...]:
-    """Engines in the order of a part of a group, the same at every process: ties go by name."""
+    """Engines in the affinity order of a part, the same at every process; ties are broken by name."""
     label = f"{group}" if part == 0 else f"{group}.{part}"
     return tuple(
         sorted(engines, key=lambda e: (zlib.crc32(f"{label}/{e}".encode()) * 2654435761 >> 7 & 1023, e))
@@ -36,18 +38,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Map:
-    """One version: the number of parts of each group that has been split, and by which split."""
+    """One version of the map: the layout of each group that was ever split."""
 
     version: int = 0
     shapes: Mapping[int, Shape] = field(default_factory=dict)
 
     def parts(self, group: int) -> int:
-        """Of a group, 1 where it was never split."""
+        """Number of parts of a group; 1 if it was never split."""
         shape = self.shapes.get(group)
         return shape.parts if shape else 1
 
     def with_shape(self, shape: Shape) -> Map:
-        """The next version. What is older than what is known of the group changes nothing."""
+        """The map with this layout; unchanged if a layout as new is known of the group."""
         old = self.shapes.get(shape.group)
         if old is not None and old.version >= shape.version:
             return self
@@ -55,32 +57,32 @@
 
 
 class Router:
-    """Homes by map and engines now; orders are kept until the engines change."""
+    """Affinity orders by map and current engines, cached until the engines change."""
 
     def __init__(self, engines: Sequence[str] = (), homes: int = 1) -> None:
         self.engines, self.homes = tuple(engines), homes
-        self.orders: dict[tuple[int, int], tuple[str, ...]] = {}
+        self.cached_orders: dict[tuple[int, int], tuple[str, ...]] = {}
 
     def update(self, engines: Sequence[str]) -> None:
-        """The live engines."""
+        """Sets the live engines."""
         if tuple(engines) != self.engines:
-            self.engines, self.orders = tuple(engines), {}
+            self.engines, self.cached_orders = tuple(engines), {}
 
-    def order(self, map_: Map, group: int, key: bytes | None) -> tuple[str, ...]:
-        """All engines, the homes of this key first."""
+    def key_order(self, map_: Map, group: int, key: bytes | None) -> tuple[str, ...]:
+        """All engines, the home engines of this key first."""
         return self.part_order(group, part_of(group, key, map_.parts(group)))
 
     def part_order(self, group: int, part: int) -> tuple[str, ...]:
-        """All engines, the homes of this part first."""
-        at = group, part
-        if at not in self.orders:
-            if len(self.orders) >= MOST_ORDERS:
-                self.orders.clear()
-            self.orders[at] = order(group, part, self.engines)
-        return self.orders[at]
+        """All engines, the home engines of this part first."""
+        pair = group, part
+        if pair not in self.cached_orders:
+            if len(self.cached_orders) >= MAX_CACHED_ORDERS:
+                self.cached_orders.clear()
+            self.cached_orders[pair] = order(group, part, self.engines)
+        return self.cached_orders[pair]
 
     def allowed(self, maps: Sequence[Map], group: int, key: bytes | None) -> tuple[str, ...]:
-        """Homes under any of these versions, the last one's first: while a version spreads, old and new."""
+        """Home engines under any of these versions, the last version's first."""
         return tuple(
-            dict.fromkeys(e for m in reversed(maps) for e in self.order(m, group, key)[: self.homes])
+            dict.fromkeys(e for m in reversed(maps) for e in self.key_order(m, group, key)[: self.homes])
         )
--- a/aspenrill/fleet/groups/schedule.py
+++ b/aspenrill/fleet/groups/schedule.py
@@ -1,9 +1,8 @@
-"""When a split is due, and into which hours: pure, with hysteresis, so that it does not plan and call off
-by turns.
+"""When a split is due and in which hours, with hysteresis against planning and cancelling in turn.
 
-A split is planned when the 90% line reaches the limit within the lead time, into the quietest hours between
-the notice and a margin before that. It is called off only when, look after look, the line stays well below
-the limit for well longer than the lead time; a plan keeps its hours unless they have come to be clearly too
+A split is planned when the 90% forecast reaches the limit within the lead time, in the quietest hours between
+the notice and a margin before the limit. It is cancelled only if a number of consecutive forecasts stay well
+below the limit for clearly longer than the lead time. A plan keeps its hours unless they are clearly too
 late.
 """
 
@@ -18,9 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleRules:
-    """Hours, and what a part of a group may be: bytes that an engine holds warm, core-milliseconds of loads
-    in the busiest hour. `calm`: a plan is called off where the line stays below that share of the limits
-    for `looks` hourly looks."""
+    """Limits of one part of a group, and times in hours.
+
+    `bytes` is what an engine holds warm, `work` the core-milliseconds of loads in the busiest hour. A plan is
+    cancelled if the forecast stays below `cancel_share` of the limits in `looks` hourly checks, or
+    if its window is more than `max_delay` after the limit is reached. A split multiplies the parts by
+    `factor`.
+    """
 
     bytes: float
     work: float = float("inf")
@@ -28,17 +31,16 @@
     notice: int = 2
     margin: int = DAY
     window: int = 2
-    calm: float = 0.85
+    cancel_share: float = 0.85
     looks: int = 12
     factor: int = 2
-    most_parts: int = 64
-    late: int = DAY
+    max_parts: int = 64
+    max_delay: int = DAY
 
 
 @dataclass(frozen=True, slots=True)
 class Outlook:
-    """One group as of the end of hour `last`: bytes held now, and how bytes and work go on (None:
-    unknown)."""
+    """A group at the end of hour `last`: its bytes, and forecasts of bytes and work (None: unknown)."""
 
     group: int
     last: int
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A split to propose."""
+    """A split to propose; the fields are those of `Split`."""
 
     group: int
     was: int
@@ -58,30 +60,32 @@
     before: int
 
 
-def crossing(look: Outlook, parts: int, rules: ScheduleRules, share: float = 1.0) -> int | None:
-    """The hour in which a 90% line reaches that share of its limit; None where it does not."""
-    room = share * rules.bytes * parts - look.bytes
-    if room <= 0:
-        return look.last
+def limit_hour(outlook: Outlook, parts: int, rules: ScheduleRules, share: float = 1.0) -> int | None:
+    """The hour in which a 90% forecast reaches that share of its limit; None if it does not."""
+    headroom = share * rules.bytes * parts - outlook.bytes
+    if headroom <= 0:
+        return outlook.last
     hours = []
-    if look.growth is not None:
+    if outlook.growth is not None:
         before = 0.0
-        for day, high in enumerate(look.growth.high):
-            if high >= room:
-                hours.append(look.last + day * DAY + int(DAY * (room - before) / max(high - before, 1e-9)))
+        for day, high in enumerate(outlook.growth.high):
+            if high >= headroom:
+                hours.append(
+                    outlook.last + day * DAY + int(DAY * (headroom - before) / max(high - before, 1e-9))
+                )
                 break
             before = high
-    if look.work is not None:
+    if outlook.work is not None:
         hours += [
-            look.last + day * DAY
-            for day, peak in enumerate(look.work.peak)
+            outlook.last + day * DAY
+            for day, peak in enumerate(outlook.work.peak)
             if peak >= share * rules.work * parts
         ][:1]
     return min(hours, default=None)
 
 
-def quiet(profile: Sequence[float], first: int, last: int, window: int) -> int:
-    """The first hour of the quietest window that starts within these; the earliest among equals."""
+def quietest_hour(profile: Sequence[float], first: int, last: int, window: int) -> int:
+    """Start of the quietest window that starts in `first` to `last`; the earliest of equals."""
     return min(
         range(first, max(first, last) + 1),
         key=lambda h: (round(sum(profile[(h + i) % DAY] for i in range(window)), 6), h),
@@ -89,46 +93,46 @@
 
 
 class Scheduler:
-    """Looks once an hour at each group; remembers for each split how often it looked not needed."""
+    """Plans splits from hourly outlooks; counts for each split how often it seemed unnecessary."""
 
     def __init__(self, rules: ScheduleRules) -> None:
         self.rules = rules
-        self.looks: dict[int, Outlook] = {}
-        self.calm: dict[str, int] = {}
+        self.outlooks: dict[int, Outlook] = {}
+        self.low_checks: dict[str, int] = {}
 
     def look(self, outlook: Outlook, splits: Mapping[str, Split]) -> None:
-        """A new outlook of a group."""
-        self.looks[outlook.group] = outlook
+        """Takes a new outlook of a group."""
+        self.outlooks[outlook.group] = outlook
         for split in splits.values():
             if split.group == outlook.group and not split.step.over:
-                near = crossing(outlook, split.was, self.rules, self.rules.calm)
-                far = near is None or near > outlook.last + 1.25 * self.rules.lead
-                self.calm[split.id] = self.calm.get(split.id, 0) + 1 if far else 0
-        self.calm = {ident: n for ident, n in self.calm.items() if ident in splits}
+                reached_at = limit_hour(outlook, split.was, self.rules, self.rules.cancel_share)
+                unneeded = reached_at is None or reached_at > outlook.last + 1.25 * self.rules.lead
+                self.low_checks[split.id] = self.low_checks.get(split.id, 0) + 1 if unneeded else 0
+        self.low_checks = {split_id: n for split_id, n in self.low_checks.items() if split_id in splits}
 
     def wanted(self, split: Split) -> str | None:
-        """Why it is not wanted any more; None while it is."""
-        if self.calm.get(split.id, 0) >= self.rules.looks:
+        """Why a split should be dropped; None if it is still needed."""
+        if self.low_checks.get(split.id, 0) >= self.rules.looks:
             return "the forecast stays below the limit"
-        look = self.looks.get(split.group)
-        if look is not None:
-            limit = crossing(look, split.was, self.rules)
-            soonest = max(look.last + self.rules.notice, limit or 0)
-            if limit is not None and split.at > soonest + self.rules.late:
+        outlook = self.outlooks.get(split.group)
+        if outlook is not None:
+            limit = limit_hour(outlook, split.was, self.rules)
+            earliest = max(outlook.last + self.rules.notice, limit or 0)
+            if limit is not None and split.at > earliest + self.rules.max_delay:
                 return "the limit comes before its window"
         return None
 
     def plan(self, group: int, parts: int, hour: int) -> Plan | None:
-        """What is due for a group that has no open split."""
-        look = self.looks.get(group)
-        if look is None or parts * self.rules.factor > self.rules.most_parts or look.last < hour - DAY:
+        """The split that is due for a group without an open one, if any."""
+        outlook = self.outlooks.get(group)
+        if outlook is None or parts * self.rules.factor > self.rules.max_parts or outlook.last < hour - DAY:
             return None
-        limit = crossing(look, parts, self.rules)
+        limit = limit_hour(outlook, parts, self.rules)
         if limit is None or limit > hour + self.rules.lead:
             return None
-        line = look.work or look.growth
-        shares = line.profile if line else (1 / DAY,) * DAY
+        growth = outlook.work or outlook.growth
+        shares = growth.profile if growth else (1 / DAY,) * DAY
         first = hour + self.rules.notice
         last = max(min(limit - self.rules.margin, first + 7 * DAY), min(first + DAY, limit), first)
-        at = quiet(shares, first, last, self.rules.window)
+        at = quietest_hour(shares, first, last, self.rules.window)
         return Plan(group, parts, parts * self.rules.factor, at, limit)
--- a/aspenrill/fleet/groups/splits.py
+++ b/aspenrill/fleet/groups/splits.py
@@ -1,18 +1,17 @@
-"""Splits as records of the agreed log: a step counts once its record is on the disks of a majority, not
-before.
+"""Splits as records of the agreed log: a step is taken once its record is on the disks of a majority.
 
     proposed -> agreed -> warming -> (map) -> switched -> done
         '----------'---------'---> dropped
 
-The record of the map is the point of no return: a split whose id stands in the map goes on to done, whoever
-coordinates; one that is dropped never gets into it. Three rules keep it so:
+The map record is the point of no return: a split whose id is in the map goes on to done under any
+coordinator, and a dropped split never enters the map. Three rules ensure this:
 
-- Only who coordinates, with its log settled, proposes, and it looks at its lease for each proposal.
-- Within an epoch one proposal is open for a split, and one for the map; while it is, only the same may be
-  proposed again. So what was sent and what is agreed never contradict each other.
-- A step repeated is a record repeated, and changes nothing. Who takes over reads the log and goes on.
+- Only a settled coordinator proposes, and it checks its lease for each proposal.
+- Within an epoch, one proposal is pending for a split and one for the map. Until it is agreed, only the same
+  record may be proposed again, so that proposed and agreed records never contradict each other.
+- Repeating a step repeats its record and has no effect. A new coordinator continues from the log.
 
-Time spent in a step is counted from when this process learned of it: a successor waits the whole time again.
+The time in a step counts from when this process learned of it; a new coordinator waits the full time again.
 """
 
 from __future__ import annotations
@@ -27,15 +26,20 @@
 from .records import Shape, Split, Step, pack, read
 from .route import Map, Router
 
-MOST_OPEN = 16  # splits planned and not over
-MOST_KEPT = 64  # splits remembered, those over among them
+MAX_OPEN_SPLITS = 16  # planned splits that are not finished
+MAX_REMEMBERED = 64  # remembered splits, finished ones included
 
 
 @dataclass(frozen=True, slots=True)
 class SplitRules:
-    """Seconds, where not said. `notice`: between planned and agreed, for an operator to look at it. `warm`:
-    for new homes to fill. `spread`: until the old homes are no longer allowed, whoever has not told.
-    `window`: hours. `rest`: after one was dropped, none of its group. `forget`: one that is over."""
+    """Limits of splits; times in seconds, `window` in hours.
+
+    `notice` is the time between proposed and agreed, in which an operator may cancel, `warm` the time for new
+    homes to warm up. After `spread` the old homes are no longer allowed, even if some process has not
+    announced the new map. After a dropped split no other of its group is planned for `rest`. Finished splits
+    are removed after `forget`. A pending proposal is repeated after `again`. No step is taken unless the
+    owner's state is at most `fresh` old.
+    """
 
     most_at_once: int = 2
     notice: float = 300.0
@@ -50,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """What the owner sees: whether there is a storm or an outage, and the engines that live."""
+    """The owner's state: whether there is a storm or an outage, and the live engines."""
 
     storm: bool
     outage: bool
@@ -59,8 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MapNews:
-    """For the owner: requests from now on run under this map. `spreading` groups may still run under the
-    old."""
+    """For the owner: route requests by this map. Groups in `spreading` may still be routed by the old one."""
 
     map: Map
     spreading: tuple[int, ...]
@@ -68,21 +71,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmNews:
-    """For the owner: this split's new homes are to be filled."""
+    """For the owner: warm up the new home engines of this split."""
 
     split: Split
 
 
 @dataclass(frozen=True, slots=True)
 class SplitNews:
-    """For the driver, which writes the owner's file: all splits known, and the map."""
+    """For the driver, which writes the owner's file: all known splits, and the map."""
 
     splits: tuple[Split, ...]
     map: Map
 
 
-class Open(NamedTuple):
-    """A proposal of this process that is not agreed yet."""
+class PendingProposal(NamedTuple):
+    """A proposal of this process that is not agreed yet; `at` is when it was last sent."""
 
     epoch: int
     at: float
@@ -90,45 +93,45 @@
 
 
 class Splits:
-    """What the log says of splits and map, and what to propose next where this process coordinates."""
+    """Splits and map according to the log, and the next proposals if this process coordinates."""
 
     def __init__(self, rules: SplitRules, authority: Authority, router: Router) -> None:
         self.rules, self.authority, self.router = rules, authority, router
         self.splits: dict[str, Split] = {}
-        self.since: dict[str, float] = {}  # when this process learned of its step
+        self.step_since: dict[str, float] = {}  # when this process learned of its current step
         self.map = Map()
-        self.open: dict[tuple[str, str], Open] = {}
+        self.pending: dict[tuple[str, str], PendingProposal] = {}
         self.facts: Facts | None = None
         self.facts_at = 0.0
 
-    # ---- what the log says ----------------------------------------------------------------------------
+    # ---- records of the log ---------------------------------------------------------------------------
 
     def on_agreed(self, now: float, record: Agreed) -> list[Effect]:
-        """One record of kind split or map. A repeat changes nothing, and what is malformed neither."""
-        self.agreed(record)
+        """Takes a record of kind split or map. Repeated and malformed records have no effect."""
+        self.settle_proposal(record)
         return (self._map_agreed if record.kind == "map" else self._split_agreed)(now, record)
 
-    def agreed(self, record: Agreed) -> None:
-        """A proposal of this process is open no more."""
-        mine = self.open.get((record.kind, record.key))
-        if mine and mine.body == record.body:
-            del self.open[record.kind, record.key]
+    def settle_proposal(self, record: Agreed) -> None:
+        """Removes the pending proposal of a record that is agreed now."""
+        proposal = self.pending.get((record.kind, record.key))
+        if proposal and proposal.body == record.body:
+            del self.pending[record.kind, record.key]
 
     def _split_agreed(self, now: float, record: Agreed) -> list[Effect]:
         if not record.body:
-            self.since.pop(record.key, None)
-            return [self._news()] if self.splits.pop(record.key, None) else []
+            self.step_since.pop(record.key, None)
+            return [self._splits_update()] if self.splits.pop(record.key, None) else []
         split = read(record.body, Split)
         old = self.splits.get(record.key)
         if split is None or split.id != record.key or old and old.step >= split.step:
             return []
-        if old is None and len(self.splits) >= MOST_KEPT * 2:
-            return [Note(f"split {split.id} is not followed: more than {MOST_KEPT * 2} are known")]
-        self.splits[split.id], self.since[split.id] = split, now
-        effects: list[Effect] = [Note(line(split)), self._news()]
+        if old is None and len(self.splits) >= MAX_REMEMBERED * 2:
+            return [Note(f"split {split.id} is ignored: more than {MAX_REMEMBERED * 2} are known")]
+        self.splits[split.id], self.step_since[split.id] = split, now
+        effects: list[Effect] = [Note(log_line(split)), self._splits_update()]
         if split.step == Step.WARMING:
             effects.append(Inform(WarmNews(split)))
-        return effects + [self._map_news()] if split.step >= Step.SWITCHED else effects
+        return effects + [self._map_update()] if split.step >= Step.SWITCHED else effects
 
     def _map_agreed(self, now: float, record: Agreed) -> list[Effect]:
         shape = read(record.body, Shape)
@@ -138,100 +141,105 @@
         if self.map is before:
             return []
         note = f"map {self.map.version}: group {shape.group} has {shape.parts} parts, by {shape.split}"
-        return [Note(note), self._map_news(), self._news()]
+        return [Note(note), self._map_update(), self._splits_update()]
 
-    def _news(self) -> Inform:
+    def _splits_update(self) -> Inform:
         return Inform(SplitNews(tuple(sorted(self.splits.values(), key=lambda s: s.id)), self.map))
 
-    def _map_news(self) -> Inform:
+    def _map_update(self) -> Inform:
         return Inform(MapNews(self.map, tuple(sorted(s.group for s in self.spreading()))))
 
     def spreading(self) -> list[Split]:
-        """Splits that are in the map and not done: old and new homes are both allowed."""
+        """Splits that are in the map and not done: old and new home engines are both allowed."""
         return [s for s in self.splits.values() if not s.step.over and self.in_map(s)]
 
     def in_map(self, split: Split) -> bool:
-        """Past the point of no return."""
+        """Whether the split is past the point of no return."""
         shape = self.map.shapes.get(split.group)
         return shape is not None and shape.split == split.id
 
     def allowed(self, group: int, key: bytes | None) -> tuple[str, ...]:
-        """Homes that a request of now may have: new ones first, old ones too while the map spreads."""
+        """Home engines that a request may use: new ones first, then old ones while the map spreads."""
         maps = [self.map]
         for split in self.spreading():
             if split.group == group:
                 maps.insert(0, Map(0, {group: Shape(1, group, split.was, split.id)}))
         return self.router.allowed(maps, group, key)
 
-    # ---- what to propose ------------------------------------------------------------------------------
+    # ---- proposals ------------------------------------------------------------------------------------
 
-    def tell(self, now: float, facts: Facts) -> None:
-        """What the owner sees now. Without news of it no step is taken."""
+    def update_owner(self, now: float, facts: Facts) -> None:
+        """Takes the owner's state. Without recent updates no step is taken."""
         self.facts, self.facts_at = facts, now
         self.router.update(facts.engines)
 
-    def acts(self, now: float) -> bool:
-        """Whether this process may plan and take steps at this moment: with a majority, and its log whole."""
+    def may_act(self, now: float) -> bool:
+        """Whether this process may plan and take steps: it coordinates and its log is settled."""
         return self.authority.coordinating(now) is not None and self.authority.settled(now)
 
-    def quiet(self, now: float) -> bool:
-        """No storm, no outage, and news of it is fresh."""
-        fresh = self.facts is not None and 0 <= now - self.facts_at <= self.rules.fresh
-        return fresh and bool(self.facts.engines) and not self.facts.storm and not self.facts.outage
+    def is_calm(self, now: float) -> bool:
+        """No storm, no outage, and the owner's state is recent."""
+        recent = self.facts is not None and 0 <= now - self.facts_at <= self.rules.fresh
+        return recent and bool(self.facts.engines) and not self.facts.storm and not self.facts.outage
 
-    def free(self, group: int, now: float) -> bool:
-        """Whether a split of this group may be planned: none is open, none was dropped of late."""
-        ours = [s for s in self.splits.values() if s.group == group]
-        resting = any(s.step == Step.DROPPED and now - self.since[s.id] < self.rules.rest for s in ours)
-        waits = any(
+    def may_plan(self, group: int, now: float) -> bool:
+        """Whether a split of this group may be planned: none is open, none was dropped recently."""
+        group_splits = [s for s in self.splits.values() if s.group == group]
+        backing_off = any(
+            s.step == Step.DROPPED and now - self.step_since[s.id] < self.rules.rest for s in group_splits
+        )
+        proposed = any(
             kind == "split" and (split := read(o.body, Split)) and split.group == group
-            for (kind, _), o in self.open.items()
+            for (kind, _), o in self.pending.items()
             if o.epoch == self.authority.coordinating(now)
         )
-        return not resting and not waits and all(s.step.over for s in ours)
+        return not backing_off and not proposed and all(s.step.over for s in group_splits)
 
-    def room(self) -> bool:
-        """Whether one more may be planned."""
-        return sum(not s.step.over for s in self.splits.values()) < MOST_OPEN
+    def has_capacity(self) -> bool:
+        """Whether the number of open splits is below its limit."""
+        return sum(not s.step.over for s in self.splits.values()) < MAX_OPEN_SPLITS
 
     def propose(self, now: float, split: Split) -> list[Effect]:
-        """A new one, or an open one at its next step."""
+        """Proposes a new split, or the next step of an open one."""
         return self.propose_record(now, "split", split.id, pack(split))
 
     def propose_record(self, now: float, kind: str, key: str, body: bytes) -> list[Effect]:
-        """Any record of the groups' kinds. What is open already goes out again after a while, as it was."""
+        """Proposes a record. One that is pending is repeated unchanged after a while."""
         epoch = self.authority.coordinating(now)
         if epoch is None or not self.authority.settled(now):
             return []
-        before = self.open.get((kind, key))
+        before = self.pending.get((kind, key))
         if before and before.epoch == epoch:
             if 0 <= now - before.at < self.rules.again:
                 return []
-            body = before.body  # something else might be agreed beside it
-        self.open[kind, key] = Open(epoch, now, body)
+            body = before.body  # a different record might be agreed besides it
+        self.pending[kind, key] = PendingProposal(epoch, now, body)
         return self.authority.propose(now, kind, key, body)
 
     def tick(
         self,
         now: float,
         hour: int,
-        off: Iterable[str],
-        wanted: Callable[[Split], str | None],
-        spread: Callable[[int], bool],
+        cancelled: Iterable[str],
+        drop_reason: Callable[[Split], str | None],
+        all_route_by: Callable[[int], bool],
     ) -> list[Effect]:
-        """The next steps. `off`: ids that an operator has called off. `wanted`: why a split is not wanted any
-        more; None while it is. `spread`: whether all have told that they route by this version."""
+        """Proposes the next steps.
+
+        `cancelled` holds the ids that an operator has cancelled, `drop_reason` tells reason a split should be
+        dropped (None: it should not), `all_route_by` whether all processes route by a version of the map.
+        """
         epoch = self.authority.coordinating(now)
-        self.open = {at: o for at, o in self.open.items() if o.epoch == epoch}
-        if not self.acts(now):
+        self.pending = {at: o for at, o in self.pending.items() if o.epoch == epoch}
+        if not self.may_act(now):
             return []
         effects: list[Effect] = []
-        for (kind, key), waits in list(self.open.items()):
-            effects += self.propose_record(now, kind, key, waits.body)
-        off = set(off)
+        for (kind, key), proposal in list(self.pending.items()):
+            effects += self.propose_record(now, kind, key, proposal.body)
+        cancelled = set(cancelled)
         for split in sorted(self.splits.values(), key=lambda s: (s.at, s.id)):
-            if ("split", split.id) not in self.open and ("map", str(split.group)) not in self.open:
-                effects += self._next(now, hour, split, split.id in off, wanted, spread)
+            if ("split", split.id) not in self.pending and ("map", str(split.group)) not in self.pending:
+                effects += self._next(now, hour, split, split.id in cancelled, drop_reason, all_route_by)
         return effects + self._forget(now)
 
     def _next(
@@ -239,56 +247,57 @@
         now: float,
         hour: int,
         split: Split,
-        off: bool,
-        wanted: Callable[[Split], str | None],
-        spread: Callable[[int], bool],
+        cancelled: bool,
+        drop_reason: Callable[[Split], str | None],
+        all_route_by: Callable[[int], bool],
     ) -> list[Effect]:
-        """The next step of one split, or none yet."""
-        waited = now - self.since[split.id]
+        """Proposes the next step of a split, if it is due."""
+        waited = now - self.step_since[split.id]
         if split.step.over:
             return []
         if self.in_map(split):
             if split.step != Step.SWITCHED:
                 return self._step(now, split, Step.SWITCHED)
-            if spread(self.map.shapes[split.group].version) or waited >= self.rules.spread:
+            if all_route_by(self.map.shapes[split.group].version) or waited >= self.rules.spread:
                 return self._step(now, split, Step.DONE)
             return []
-        why = (
+        reason = (
             "called off"
-            if off
-            else self._missed(hour, split) or (wanted(split) if split.step < Step.WARMING else None)
+            if cancelled
+            else self._missed_window(hour, split)
+            or (drop_reason(split) if split.step < Step.WARMING else None)
         )
-        if why:
-            return self._step(now, split, Step.DROPPED, why)
-        if not self.quiet(now):
+        if reason:
+            return self._step(now, split, Step.DROPPED, reason)
+        if not self.is_calm(now):
             return []
         if split.step == Step.PROPOSED and waited >= self.rules.notice:
             return self._step(now, split, Step.AGREED)
-        if split.step == Step.AGREED and hour >= split.at and self._turn(split):
+        if split.step == Step.AGREED and hour >= split.at and self._may_start(split):
             return self._step(now, split, Step.WARMING)
         if split.step == Step.WARMING and waited >= self.rules.warm:
             return self._switch(now, split)
         return []
 
-    def _missed(self, hour: int, split: Split) -> str | None:
-        """Its window is over and it is not switched: trouble held it up."""
+    def _missed_window(self, hour: int, split: Split) -> str | None:
+        """The reason to drop a split whose window has passed before it was switched."""
         return "its window is missed" if hour >= split.at + self.rules.window else None
 
-    def _turn(self, split: Split) -> bool:
-        """One per engine and a few at a time, those among them whose step is proposed and not yet agreed."""
-        busy = [
+    def _may_start(self, split: Split) -> bool:
+        """Whether a split may start: one per engine and few at a time, counting those with a pending step."""
+        active = [
             s
             for s in self.splits.values()
             if not s.step.over
             and s.id != split.id
-            and (s.step >= Step.WARMING or ("split", s.id) in self.open and s.step == Step.AGREED)
+            and (s.step >= Step.WARMING or ("split", s.id) in self.pending and s.step == Step.AGREED)
         ]
-        engines = {engine for s in busy for engine in s.engines}
-        return len(busy) < self.rules.most_at_once and engines.isdisjoint(split.engines)
+        engines = {engine for s in active for engine in s.engines}
+        return len(active) < self.rules.most_at_once and engines.isdisjoint(split.engines)
 
     def _switch(self, now: float, split: Split) -> list[Effect]:
-        """Into the map, under its next version; one at a time, so that no two have the same."""
-        if any(kind == "map" for kind, _ in self.open) or self.map.parts(split.group) != split.was:
+        """Proposes the next version of the map; one at a time, so that no version is used twice."""
+        if any(kind == "map" for kind, _ in self.pending) or self.map.parts(split.group) != split.was:
             return []
         shape = Shape(self.map.version + 1, split.group, split.parts, split.id)
         return self.propose_record(now, "map", str(split.group), pack(shape))
@@ -297,18 +306,20 @@
         return self.propose(now, msgspec.structs.replace(split, step=step, reason=reason))
 
     def _forget(self, now: float) -> list[Effect]:
-        """End the records of those long over, and the oldest where there are many."""
-        over = sorted((s for s in self.splits.values() if s.step.over), key=lambda s: self.since[s.id])
-        spare = len(self.splits) - MOST_KEPT
+        """Deletes records of splits finished long ago, and the oldest finished ones if there are too many."""
+        finished = sorted(
+            (s for s in self.splits.values() if s.step.over), key=lambda s: self.step_since[s.id]
+        )
+        excess = len(self.splits) - MAX_REMEMBERED
         effects: list[Effect] = []
-        for at, split in enumerate(over):
-            if at < spare or now - self.since[split.id] >= self.rules.forget:
+        for at, split in enumerate(finished):
+            if at < excess or now - self.step_since[split.id] >= self.rules.forget:
                 effects += self.propose_record(now, "split", split.id, b"")
         return effects
 
 
-def line(split: Split) -> str:
-    """For the log: one line a step."""
+def log_line(split: Split) -> str:
+    """Log line for a step of a split."""
     reason = f": {split.reason}" if split.reason else ""
     return (
         f"split {split.id} of group {split.group} from {split.was} to {split.parts} parts: "
--- a/aspenrill/fleet/groups/telling.py
+++ b/aspenrill/fleet/groups/telling.py
@@ -1,10 +1,10 @@
-"""How counters get to the keepers: deltas by messages, sent again until they are acknowledged.
+"""Replication of counters to the collectors: delta messages, resent until they are acknowledged.
 
-Keepers are the voters: one of them coordinates, and forecasts from what it holds. Each process tells one
-keeper, the first in its own order that is alive; keepers tell each other. What has changed twice before it
-was sent goes once. (Delta states with acknowledgements: Almeida, Shoker, Baquero, "Delta state replicated
-data types", 2018.) With the board instead, each process would hold and pass on what a handful need: 1,100
-times the traffic.
+Collectors are the voters: one of them coordinates and makes forecasts from its counters. Each process sends
+to one collector, the first running one in an order of its own; collectors send to each other. A counter that
+changes twice before it is sent goes out once. (Delta states with acknowledgements: Almeida, Shoker, Baquero,
+"Delta state replicated data types", 2018.) With gossip instead, each process would store and forward what a
+handful need: 1,100 times the traffic.
 """
 
 from __future__ import annotations
@@ -17,143 +17,155 @@
 from ..interface import MOST_BODY, Effect, Member, Post
 from .counts import Counts
 from .hours import Key
-from .records import Ask, Cell, Heard, Tell, pack
+from .records import Cell, CounterAck, CounterUpdate, TotalsRequest, pack
 
 
 @dataclass(frozen=True, slots=True)
 class TellRules:
-    """Seconds until a message is sent again, and how many may be out to one keeper."""
+    """Seconds until a message is resent, and how many may be in flight to one collector."""
 
-    again: float = 3.0
-    window: int = 8
+    resend_after: float = 3.0
+    max_in_flight: int = 8
 
 
 @dataclass(slots=True)
-class Neighbour:
-    """A keeper that this process tells: what it lacks, and what is on its way."""
+class PeerState:
+    """A collector that this process sends to: keys to send, and messages in flight."""
 
     incarnation: int
-    lacks: dict[Key, None] = field(default_factory=dict)  # in the order of their change
-    out: dict[int, tuple[float, tuple[Key, ...]]] = field(default_factory=dict)  # by number: sent at, what
+    unsent: dict[Key, None] = field(default_factory=dict)  # in the order of change
+    # by number: when sent, keys
+    in_flight: dict[int, tuple[float, tuple[Key, ...]]] = field(default_factory=dict)
 
-    def again(self, number: int) -> None:
-        """What was in a message is lacking, since no answer came."""
-        for key in self.out.pop(number)[1]:
-            self.lacks[key] = None
+    def requeue(self, number: int) -> None:
+        """Queues the keys of an unacknowledged message again."""
+        for key in self.in_flight.pop(number)[1]:
+            self.unsent[key] = None
 
 
-class Telling:
-    """One process's side. `keepers` are names; those configured, in any order."""
+class CounterSync:
+    """Counter replication of one process. `collectors` are the configured names, in any order."""
 
-    def __init__(self, rules: TellRules, keepers: Iterable[str], counts: Counts) -> None:
-        self.rules, self.counts, self.me = rules, counts, counts.me[0]
-        self.keepers = tuple(
+    def __init__(self, rules: TellRules, collectors: Iterable[str], counts: Counts) -> None:
+        self.rules, self.counts, self.own_name = rules, counts, counts.own_origin[0]
+        self.collectors = tuple(
             sorted(
-                keepers, key=lambda keeper: (xxhash.xxh3_64_intdigest(f"{self.me}/{keeper}".encode()), keeper)
+                collectors,
+                key=lambda collector: (
+                    xxhash.xxh3_64_intdigest(f"{self.own_name}/{collector}".encode()),
+                    collector,
+                ),
             )
         )
-        self.keeps = self.me in self.keepers
-        self.near: dict[str, Neighbour] = {}
-        self.asked: set[tuple[str, int]] = set()
+        self.is_collector = self.own_name in self.collectors
+        self.peers: dict[str, PeerState] = {}
+        self.requested: set[tuple[str, int]] = set()
         self.number = 0
 
-    def changed(self, keys: Iterable[Key], but: str = "") -> None:
-        """News, for all neighbours but the one that told it."""
-        for name, near in self.near.items():
-            if name != but:
-                near.lacks.update(dict.fromkeys(keys))
+    def enqueue(self, keys: Iterable[Key], exclude: str = "") -> None:
+        """Queues changed keys for all peers except their sender."""
+        for name, peer in self.peers.items():
+            if name != exclude:
+                peer.unsent.update(dict.fromkeys(keys))
 
-    def held(self) -> frozenset[int]:
-        """Hours of which a neighbour still lacks something."""
+    def unsent_hours(self) -> frozenset[int]:
+        """Hours with keys that a peer has not acknowledged."""
         return frozenset(
             key[3]
-            for near in self.near.values()
-            for keys in (near.lacks, *(sent for _, sent in near.out.values()))
+            for peer in self.peers.values()
+            for keys in (peer.unsent, *(sent for _, sent in peer.in_flight.values()))
             for key in keys
         )
 
     def tick(self, now: float, members: Mapping[str, Member]) -> list[Effect]:
-        """Who is to be told, what goes out, and what goes out again."""
-        there = [k for k in self.keepers if k != self.me and k in members and members[k].there]
-        wanted = there if self.keeps else there[:1]
-        for name in [n for n in self.near if n not in wanted]:
-            del self.near[name]
+        """Updates the peers, sends queued keys and resends unacknowledged ones."""
+        running = [k for k in self.collectors if k != self.own_name and k in members and members[k].there]
+        targets = running if self.is_collector else running[:1]
+        for name in [n for n in self.peers if n not in targets]:
+            del self.peers[name]
         effects: list[Effect] = []
-        for name in wanted:
-            near, incarnation = self.near.get(name), members[name].incarnation
-            if near is None or near.incarnation != incarnation:
-                near = self.near[name] = Neighbour(incarnation, dict.fromkeys(self._all()))
-                effects += self._ask(name, incarnation)
-            for number in [n for n, (at, _) in near.out.items() if not now - self.rules.again < at <= now]:
-                near.again(number)
-            effects += self._send(now, name, near)
+        for name in targets:
+            peer, incarnation = self.peers.get(name), members[name].incarnation
+            if peer is None or peer.incarnation != incarnation:
+                peer = self.peers[name] = PeerState(incarnation, dict.fromkeys(self._initial_keys()))
+                effects += self._request_totals(name, incarnation)
+            for number in [
+                n for n, (at, _) in peer.in_flight.items() if not now - self.rules.resend_after < at <= now
+            ]:
+                peer.requeue(number)
+            effects += self._send(now, name, peer)
         return effects
 
-    def _all(self) -> list[Key]:
-        """What one that is new to this process is told: all in detail, by others than keepers only their
-        own."""
-        return [key for key in self.counts.keys() if self.keeps or key[0] == self.me]
+    def _initial_keys(self) -> list[Key]:
+        """The keys for a new peer: all that are not folded; from others than collectors only their own."""
+        return [key for key in self.counts.keys() if self.is_collector or key[0] == self.own_name]
 
-    def _ask(self, name: str, incarnation: int) -> list[Effect]:
-        """A keeper asks each other one, once in its life, for the totals of hours that it may not know."""
-        if not self.keeps or (name, incarnation) in self.asked:
+    def _request_totals(self, name: str, incarnation: int) -> list[Effect]:
+        """Requests totals of hours that this collector may lack, once from each other incarnation."""
+        if not self.is_collector or (name, incarnation) in self.requested:
             return []
-        self.asked = {(n, i) for n, i in self.asked if n != name} | {(name, incarnation)}
-        known = [hour for hour in self.counts.hours if self.counts.heard(hour)]
-        gap = min(
-            (h for h in range(self.counts.hour - self.counts.rules.kept, self.counts.hour) if h not in known),
+        self.requested = {(n, i) for n, i in self.requested if n != name} | {(name, incarnation)}
+        known = [hour for hour in self.counts.hours if self.counts.is_known(hour)]
+        first_unknown = min(
+            (
+                h
+                for h in range(self.counts.hour - self.counts.rules.retention, self.counts.hour)
+                if h not in known
+            ),
             default=self.counts.hour,
         )
-        return [Post(name, pack(Ask(gap)))]
+        return [Post(name, pack(TotalsRequest(first_unknown)))]
 
-    def _send(self, now: float, name: str, near: Neighbour) -> list[Effect]:
-        """As many messages as may be out."""
+    def _send(self, now: float, name: str, peer: PeerState) -> list[Effect]:
+        """Sends queued keys, in as many messages as may be in flight."""
         effects: list[Effect] = []
-        while near.lacks and len(near.out) < self.rules.window:
+        while peer.unsent and len(peer.in_flight) < self.rules.max_in_flight:
             cells: list[Cell] = []
             keys: list[Key] = []
-            size = 24  # of the rest of the message
-            for key in near.lacks:
+            size = 24  # bytes of the message besides its cells
+            for key in peer.unsent:
                 cell = self.counts.cell(key)
-                weight = len(pack(cell)) if cell else 0
-                if size + weight > MOST_BODY or len(cells) == 64:
+                cell_size = len(pack(cell)) if cell else 0
+                if size + cell_size > MOST_BODY or len(cells) == 64:
                     break
-                size += weight
+                size += cell_size
                 keys.append(key)
                 if cell:
                     cells.append(cell)
             for key in keys:
-                del near.lacks[key]
+                del peer.unsent[key]
             if cells:
                 self.number += 1
-                near.out[self.number] = now, tuple(keys)
-                effects.append(Post(name, pack(Tell(self.number, tuple(cells)))))
+                peer.in_flight[self.number] = now, tuple(keys)
+                effects.append(Post(name, pack(CounterUpdate(self.number, tuple(cells)))))
         return effects
 
-    def on_tell(self, sender: str, told: Tell) -> list[Effect]:
-        """Merge, pass on what was news where this is a keeper, acknowledge."""
-        if not self.keeps:
+    def on_update(self, sender: str, update: CounterUpdate) -> list[Effect]:
+        """Merges cells, forwards those that changed anything, and acknowledges; collectors only."""
+        if not self.is_collector:
             return []
-        news = [key for cell in told.cells if (key := self.counts.merge(cell))]
-        self.changed([key for key in news if key[0]], but=sender)
-        return [Post(sender, pack(Heard(told.number)))]
-
-    def on_heard(self, now: float, sender: str, heard: Heard) -> list[Effect]:
-        """It has them: room for more."""
-        near = self.near.get(sender)
-        if near is None or near.out.pop(heard.number, None) is None:
+        changed = [key for cell in update.cells if (key := self.counts.merge(cell))]
+        self.enqueue([key for key in changed if key[0]], exclude=sender)
+        return [Post(sender, pack(CounterAck(update.number)))]
+
+    def on_ack(self, now: float, sender: str, ack: CounterAck) -> list[Effect]:
+        """A message is acknowledged, so more may be sent."""
+        peer = self.peers.get(sender)
+        if peer is None or peer.in_flight.pop(ack.number, None) is None:
             return []
-        return self._send(now, sender, near)
-
-    def on_ask(self, sender: str, ask: Ask) -> None:
-        """Another keeper was away."""
-        near = self.near.get(sender)
-        if self.keeps and near is not None:
-            hours = sorted((hour for hour in self.counts.hours if hour >= ask.since), reverse=True)
-            near.lacks.update(dict.fromkeys(self.counts.total_keys(hours)))
-
-    def revised(self, hours: Iterable[int]) -> None:
-        """Closed anew: other keepers may have taken the sum from here. Those that sum up themselves ignore
-        it."""
-        if self.keeps:
-            self.changed(self.counts.total_keys(h for h in hours if self.counts.hours[h].revision))
+        return self._send(now, sender, peer)
+
+    def on_totals_request(self, sender: str, request: TotalsRequest) -> None:
+        """Queues totals for a collector that was down."""
+        peer = self.peers.get(sender)
+        if self.is_collector and peer is not None:
+            hours = sorted((hour for hour in self.counts.hours if hour >= request.since), reverse=True)
+            peer.unsent.update(dict.fromkeys(self.counts.total_keys(hours)))
+
+    def enqueue_totals(self, hours: Iterable[int]) -> None:
+        """Queues the totals of hours closed again after a revision, for collectors that took them over.
+
+        Collectors with sums of their own ignore them.
+        """
+        if self.is_collector:
+            self.enqueue(self.counts.total_keys(h for h in hours if self.counts.hours[h].revision))
--- a/tests/test_groups_forecast.py
+++ b/tests/test_groups_forecast.py
@@ -1,4 +1,4 @@
-"""Forecasts against statsmodels, baselines and what must hold of them; the schedule's hysteresis."""
+"""Forecasts compared with statsmodels and simple baselines; hysteresis of the split schedule."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from aspenrill.fleet.groups.change import last_change
 from aspenrill.fleet.groups.forecast import DAY, Forecast, ForecastRules, forecast, seasons, smooth
 from aspenrill.fleet.groups.records import Split, Step
-from aspenrill.fleet.groups.schedule import Outlook, Scheduler, ScheduleRules, crossing, quiet
+from aspenrill.fleet.groups.schedule import Outlook, Scheduler, ScheduleRules, limit_hour, quietest_hour
 from benchmarks.fleet_forecast import FIRST_HOUR, HISTORIES, HORIZONS, errors
 
 WEEK = [1.2, 1.1, 1.0, 1.1, 1.2, 0.7, 0.7]
 
 
 def hours(days: int, seed: int = 1, level=lambda d: 1 + d / 30) -> list[float]:
-    """Growth with both seasons and a little noise."""
+    """Growth with daily and weekly seasons and a little noise."""
     rng = random.Random(seed)
     return [
         1e6
@@ -35,13 +35,13 @@
 
 
 def week(series, seed=1, **more) -> tuple[float, float, float]:
-    """Growth over seven days: 10, 50 and 90%."""
+    """Forecast growth over seven days at 10, 50 and 90%."""
     found = forecast(FIRST_HOUR, series, random.Random(seed), replace(ForecastRules(), **more))
     return found.low[6], found.mid[6], found.high[6]
 
 
 @pytest.mark.parametrize("alpha,beta,damping", [(0.3, 0.05, 0.98), (0.1, 0.01, 0.9), (0.6, 0.2, 0.95)])
-def test_smoothing_is_that_of_the_oracle(alpha, beta, damping):
+def test_smoothing_equals_statsmodels(alpha, beta, damping):
     rng = random.Random(2)
     days = [100 + 2 * d + rng.gauss(0, 8) for d in range(40)]
     oracle = ETSModel(
@@ -53,33 +53,33 @@
         initial_level=100.0,
         initial_trend=0.0,
     )
-    theirs = oracle.smooth([alpha, beta, damping])
-    ours = smooth(days, 100.0, 0.0, [1.0] * 7, alpha, beta, damping)
-    assert numpy.allclose(ours.fitted, theirs.fittedvalues, rtol=1e-9)
-    assert numpy.allclose(module.expected(ours, 40, 9, damping), theirs.forecast(9), rtol=1e-9)
+    reference = oracle.smooth([alpha, beta, damping])
+    smoothed = smooth(days, 100.0, 0.0, [1.0] * 7, alpha, beta, damping)
+    assert numpy.allclose(smoothed.fitted, reference.fittedvalues, rtol=1e-9)
+    assert numpy.allclose(module.predict(smoothed, 40, 9, damping), reference.forecast(9), rtol=1e-9)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_forecasts_are_near_those_of_the_oracle(seed):
+def test_forecasts_are_close_to_statsmodels(seed):
     series = hours(42, seed)
     days = [sum(series[d * DAY : (d + 1) * DAY]) for d in range(42)]
-    theirs = sum(
+    reference = sum(
         ExponentialSmoothing(days, trend="add", damped_trend=True, seasonal="mul", seasonal_periods=7)
         .fit()
         .forecast(7)
     )
     truth = sum(hours(49, seed)[-7 * DAY :])
     mid = week(series)[1]
-    assert abs(mid / theirs - 1) < 0.1 and abs(mid / truth - 1) < 0.1
+    assert abs(mid / reference - 1) < 0.1 and abs(mid / truth - 1) < 0.1
     assert numpy.allclose(seasons(days), numpy.array(WEEK) / numpy.mean(WEEK), rtol=0.12)
 
 
 def check_gaps() -> None:
     """A third of the hours missing moves the forecast little."""
     series, rng = hours(35), random.Random(3)
-    holes = {h for start in rng.sample(range(len(series) - 20), 14) for h in range(start, start + 20)}
-    mid = week([None if h in holes else v for h, v in enumerate(series)])[1]
-    assert len(holes) > 200 and abs(mid / week(series)[1] - 1) < 0.1
+    gaps = {h for start in rng.sample(range(len(series) - 20), 14) for h in range(start, start + 20)}
+    mid = week([None if h in gaps else v for h, v in enumerate(series)])[1]
+    assert len(gaps) > 200 and abs(mid / week(series)[1] - 1) < 0.1
 
 
 def test_missing_hours_are_skipped_and_not_zero(monkeypatch):
@@ -95,12 +95,12 @@
         check_gaps()
 
 
-def test_a_jump_is_found_and_a_burst_is_not_one():
+def test_level_shift_is_found_and_burst_is_ignored():
     flat = [100.0 + n % 3 for n in range(30)]
     assert last_change(flat, 3) == 0 == last_change([v * 2 if n == 14 else v for n, v in enumerate(flat)], 3)
     assert last_change([v * 2 if n >= 14 else v for n, v in enumerate(flat)], 3) == 14
     assert last_change([v * 2 if 9 <= n < 20 else v for n, v in enumerate(flat)], 3) == 20
-    assert last_change([100.0 + 3 * n for n in range(40)], 3) == 0  # growth is none
+    assert last_change([100.0 + 3 * n for n in range(40)], 3) == 0  # steady growth is no change point
     after = hours(30, level=lambda d: 1.0 if d < 24 else 2.5)
     assert abs(week(after)[1] / sum(hours(37, level=lambda d: 2.5)[-7 * DAY :]) - 1) < 0.2
 
@@ -115,12 +115,12 @@
         assert 0 <= lines[0] <= lines[1] <= lines[2]
     assert list(found.mid) == sorted(found.mid) and abs(sum(found.profile) - 1) < 1e-9
     assert forecast(0, [1.0] * 50, random.Random(1)) is None
-    for odd in ([0.0] * 200, [None] * 200, [1e15, 0.0] * 100, [0.0] * 190 + [5.0] * 10):
-        found = forecast(0, odd, random.Random(1))
+    for history in ([0.0] * 200, [None] * 200, [1e15, 0.0] * 100, [0.0] * 190 + [5.0] * 10):
+        found = forecast(0, history, random.Random(1))
         assert found is None or all(math.isfinite(v) for v in (*found.low, *found.high, *found.peak))
 
 
-def test_it_does_better_than_both_baselines_on_made_up_histories():
+def test_forecast_beats_both_baselines_on_synthetic_histories():
     names = ["linear growth", "gaps", "late counts", "stalls", "weekdays only", "bursts"]
     assert len(HISTORIES) >= 12
     rows = [errors(name, 1, ForecastRules())[HORIZONS[0]] for name in names]
@@ -134,8 +134,8 @@
 RULES = ScheduleRules(1000.0, lead=10 * DAY, notice=2, margin=DAY, looks=3)
 
 
-def look(hour: int, held: float, daily: float) -> Outlook:
-    """Growing by so much a day; the quietest hours are from 3 on."""
+def outlook(hour: int, held: float, daily: float) -> Outlook:
+    """A group of `held` bytes that grows by `daily` bytes; its quietest hours start at 3."""
     high = tuple(daily * (d + 1) for d in range(14))
     profile = tuple(0.01 if h in (3, 4) else 0.98 / 22 for h in range(DAY))
     return Outlook(7, hour - 1, held, Forecast(hour - 1, high, high, high, high, profile, None), None)
@@ -143,31 +143,31 @@
 
 def test_a_split_is_planned_into_quiet_hours_before_the_limit():
     scheduler, now = Scheduler(RULES), 100 * DAY + 12
-    scheduler.look(look(now, 500.0, 30.0), {})
-    assert scheduler.plan(7, 1, now) is None  # over 16 days away
-    scheduler.look(look(now, 700.0, 50.0), {})
+    scheduler.look(outlook(now, 500.0, 30.0), {})
+    assert scheduler.plan(7, 1, now) is None  # limit over 16 days away
+    scheduler.look(outlook(now, 700.0, 50.0), {})
     plan = scheduler.plan(7, 1, now)
     assert plan.parts == 2 and plan.at == 101 * DAY + 3 and plan.before == now - 1 + 6 * DAY
     assert scheduler.plan(7, 2, now) is None and scheduler.plan(8, 1, now) is None
-    assert scheduler.plan(7, 1, now + 3 * DAY) is None  # an old look
-    scheduler.look(look(now, 1200.0, 50.0), {})
-    assert scheduler.plan(7, 1, now).at == now + 2  # too late for better
-    assert quiet([1.0] * DAY, 5, 9, 2) == 5
-    busy = replace(look(now, 0.0, 0.0), work=look(now, 0.0, 50.0).growth)
-    assert crossing(busy, 1, replace(RULES, work=200.0)) == now - 1 + 3 * DAY
-    assert crossing(busy, 1, RULES) is None
+    assert scheduler.plan(7, 1, now + 3 * DAY) is None  # outdated outlook
+    scheduler.look(outlook(now, 1200.0, 50.0), {})
+    assert scheduler.plan(7, 1, now).at == now + 2  # no time for a quieter window
+    assert quietest_hour([1.0] * DAY, 5, 9, 2) == 5
+    busy = replace(outlook(now, 0.0, 0.0), work=outlook(now, 0.0, 50.0).growth)
+    assert limit_hour(busy, 1, replace(RULES, work=200.0)) == now - 1 + 3 * DAY
+    assert limit_hour(busy, 1, RULES) is None
 
 
-def test_a_plan_is_not_made_and_called_off_by_turns():
+def test_plans_are_not_made_and_cancelled_in_turn():
     scheduler, now = Scheduler(RULES), 100 * DAY
     split = Split("s", 7, 1, 2, Step.AGREED, now + 3, now + 9 * DAY)
-    for n in range(40):  # the line swings around the lead time
-        scheduler.look(look(now + n, 700.0, 33.0 if n % 2 else 26.0), {"s": split})
+    for n in range(40):  # the forecast alternates around the lead time
+        scheduler.look(outlook(now + n, 700.0, 33.0 if n % 2 else 26.0), {"s": split})
         assert scheduler.wanted(split) is None
     for n in range(3):
         assert scheduler.wanted(split) is None
-        scheduler.look(look(now + 40 + n, 400.0, 5.0), {"s": split})
+        scheduler.look(outlook(now + 40 + n, 400.0, 5.0), {"s": split})
     assert "below" in scheduler.wanted(split)
     late = Split("t", 7, 1, 2, Step.AGREED, now + 6 * DAY, now + 9 * DAY)
-    scheduler.look(look(now, 900.0, 100.0), {"t": late})
+    scheduler.look(outlook(now, 900.0, 100.0), {"t": late})
     assert "before its window" in scheduler.wanted(late)
--- a/tests/test_groups_splits.py
+++ b/tests/test_groups_splits.py
@@ -1,4 +1,4 @@
-"""Splits happen once or not at all: many processes and seeds, a state machine, and planted defects."""
+"""Splits happen at most once: many processes and seeds, a state machine, and planted defects."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def storm(seed: int, count: int, kind: type[Groups] = Groups, seconds: float = 50.0) -> Scene:
-    """Faults of all kinds, storms and operators who call splits off; then calm until all is done."""
+    """Random faults, storms and cancelled splits, then none until all splits are finished."""
     rng, scene = random.Random(f"{seed}/storm"), Scene(seed, count, kind)
     scene.world.play(schedule(seed, scene.world.names, seconds, gap=0.7))
     for _ in range(5):
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_each_split_happens_once_whatever_fails(seed):
+def test_each_split_happens_once_under_faults(seed):
     storm(seed, random.Random(seed).choice((3, 5, 7, 9)))
 
 
@@ -74,27 +74,27 @@
     scene.world.run(90.0)
     minority = [scene.world.procs[name].part("groups") for name in held]
     assert scene.ledger.version == 4 and [g.splits.map.version for g in minority] == list(held.values())
-    assert not any(g.splits.acts(0.0) or g.splits.open for g in minority)
+    assert not any(g.splits.may_act(0.0) or g.splits.pending for g in minority)
     scene.world.net.heal()
     scene.finish()
 
 
-def test_neither_storm_nor_outage_nor_silence_of_the_owner_sees_a_step():
+def test_no_step_in_storm_or_outage_or_without_owner_updates():
     for field in ("storm", "outage"):
         scene = Scene(6, 3)
         setattr(scene, field, True)
         scene.world.run(60.0)
         assert not scene.ledger.log
     splits = Splits(SplitRules(), None, Router())
-    splits.tell(0.0, Facts(False, False, ENGINES))
-    assert splits.quiet(30.0) and not splits.quiet(31.0) and not splits.quiet(-1.0)
+    splits.update_owner(0.0, Facts(False, False, ENGINES))
+    assert splits.is_calm(30.0) and not splits.is_calm(31.0) and not splits.is_calm(-1.0)
 
 
 # ---- planted defects ----------------------------------------------------------------------------------
 
 
-class Changed(Groups):
-    """Groups whose splits are of another class."""
+class WithSplitsKind(Groups):
+    """Groups with a substitute for the class Splits."""
 
     splits_kind: type[Splits]
 
@@ -103,15 +103,15 @@
         self.splits = self.splits_kind(rules.splits, authority, self.splits.router)
 
 
-class BeforeAgreed(Splits):
+class ActsBeforeAgreement(Splits):
     def propose_record(self, now, kind, key, body):
         effects = super().propose_record(now, kind, key, body)
-        if (kind, key) in self.open:
+        if (kind, key) in self.pending:
             effects += self.on_agreed(now, Agreed(0, 0, kind, key, body))
         return effects
 
 
-class RepeatsWithEffect(Splits):
+class AppliesRepeats(Splits):
     def on_agreed(self, now, record):
         self.splits.pop(record.key, None)
         return super().on_agreed(now, record)
@@ -123,14 +123,14 @@
 
 
 class PlansInMinority(Splits):
-    def acts(self, now):
+    def may_act(self, now):
         return True
 
     def propose_record(self, now, kind, key, body):
         return self.authority.propose(now, kind, key, body)
 
 
-class DropsAfterTheSwitch(Splits):
+class DropsAfterSwitch(Splits):
     def in_map(self, split):
         return False
 
@@ -141,46 +141,48 @@
         return self.propose_record(now, "map", str(split.group), pack(shape))
 
 
-class AllAtOnce(Splits):
-    def _turn(self, split):
+class NoConcurrencyLimit(Splits):
+    def _may_start(self, split):
         return True
 
 
-class SaysTwoThings(Splits):
-    """Something else is proposed while a proposal is open."""
+class ProposesTwoRecords(Splits):
+    """Proposes a different record while a proposal is pending."""
 
-    def tick(self, now, hour, off, wanted, spread):
-        if any(kind == "map" for kind, _ in self.open):
-            self.open.clear()
-            off = list(self.splits)
-        return super().tick(now, hour, off, wanted, spread)
+    def tick(self, now, hour, cancelled, drop_reason, all_route_by):
+        if any(kind == "map" for kind, _ in self.pending):
+            self.pending.clear()
+            cancelled = list(self.splits)
+        return super().tick(now, hour, cancelled, drop_reason, all_route_by)
 
 
 class DoubleCount(Groups):
-    """Counters are added, not merged by the larger."""
+    """Adds counters instead of merging by the larger value."""
 
     def on_start(self, now, view, stored):
         effects = super().on_start(now, view, stored)
-        put = self.counts._put
+        merge = self.counts._merge_value
 
         def added(origin, group, hour, value):
-            told = self.counts.hours.get(hour, counts.HourBook()).told.get(origin, counts.Told())
-            old = told.groups.get(group, counts.NONE) if origin != self.counts.me else counts.NONE
-            return put(origin, group, hour, counts.plus(old, value))
+            counters = self.counts.hours.get(hour, counts.HourCounters()).origins.get(
+                origin, counts.OriginCounters()
+            )
+            old = counters.groups.get(group, counts.ZERO) if origin != self.counts.own_origin else counts.ZERO
+            return merge(origin, group, hour, counts.add_values(old, value))
 
-        self.counts._put = added
+        self.counts._merge_value = added
         return effects
 
 
 DEFECTS = [
-    BeforeAgreed,
-    RepeatsWithEffect,
+    ActsBeforeAgreement,
+    AppliesRepeats,
     IgnoresTheMap,
     PlansInMinority,
-    DropsAfterTheSwitch,
+    DropsAfterSwitch,
     TwoVersionsAtOnce,
-    AllAtOnce,
-    SaysTwoThings,
+    NoConcurrencyLimit,
+    ProposesTwoRecords,
 ]
 
 
@@ -188,43 +190,43 @@
 def test_a_planted_defect_is_caught(defect):
     kind = defect
     if issubclass(defect, Splits):
-        kind = type(defect.__name__, (Changed,), {"splits_kind": defect})
+        kind = type(defect.__name__, (WithSplitsKind,), {"splits_kind": defect})
     with pytest.raises((Broken, AssertionError)):
         for seed in range(20):
             storm(seed, 5, kind, 40.0)
 
 
-# ---- the steps alone, against a log that loses, repeats and comes late ----------------------------------
+# ---- steps against a log that loses, repeats and delays proposals --------------------------------------
 
 
-class Steps(RuleBasedStateMachine):
-    """Two who may coordinate, one after the other, and one log."""
+class SplitSteps(RuleBasedStateMachine):
+    """Two processes that coordinate in turn, and one log."""
 
     def __init__(self):
         super().__init__()
         self.ledger, self.now, self.hour, self.waiting = Ledger(random.Random(1), 2), 0.0, 10, []
-        self.who, self.epoch_, self.ready = 0, 1, True
-        self.nodes = [self.fresh(n) for n in range(2)]
-        self.given = [0, 0]
+        self.coordinator, self.epoch_, self.ready = 0, 1, True
+        self.nodes = [self.new_node(n) for n in range(2)]
+        self.delivered = [0, 0]
 
-    def fresh(self, number):
+    def new_node(self, number):
         machine = self
 
-        class Mine:
+        class OwnAuthority:
             def coordinating(self, now):
-                return machine.epoch_ if machine.who == number else None
+                return machine.epoch_ if machine.coordinator == number else None
 
             def settled(self, now):
-                return machine.who == number and machine.given[number] == len(machine.ledger.log)
+                return machine.coordinator == number and machine.delivered[number] == len(machine.ledger.log)
 
             def propose(self, now, kind, key, body):
-                assert machine.who == number
+                assert machine.coordinator == number
                 machine.waiting.append((kind, key, body))
                 return []
 
         rules = SplitRules(notice=1, warm=1, spread=1, again=2, rest=5, forget=1e9)
-        node = Splits(rules, Mine(), Router(ENGINES))
-        node.tell(0.0, Facts(False, False, ENGINES))
+        node = Splits(rules, OwnAuthority(), Router(ENGINES))
+        node.update_owner(0.0, Facts(False, False, ENGINES))
         return node
 
     @rule(
@@ -233,14 +235,14 @@
     def tick(self, seconds, off, storm_, late):
         self.now += seconds
         self.hour += late
-        node = self.nodes[self.who]
-        node.tell(self.now, Facts(storm_, False, ENGINES))
+        node = self.nodes[self.coordinator]
+        node.update_owner(self.now, Facts(storm_, False, ENGINES))
         node.tick(self.now, self.hour, list(node.splits) if off else (), lambda s: None, lambda v: False)
 
     @rule(group=st.sampled_from([1, 2, 3]))
     def plan(self, group):
-        node = self.nodes[self.who]
-        if node.acts(self.now) and node.free(group, self.now):
+        node = self.nodes[self.coordinator]
+        if node.may_act(self.now) and node.may_plan(group, self.now):
             was = node.map.parts(group)
             node.propose(
                 self.now,
@@ -262,14 +264,14 @@
         self.ledger.append(*self.waiting.pop(0))
 
     @rule(late=st.booleans())
-    def hear(self, late):
+    def deliver(self, late):
         for number, node in enumerate(self.nodes):
-            new = self.ledger.log[self.given[number] :]
+            new = self.ledger.log[self.delivered[number] :]
             last = {(r.kind, r.key): r.number for r in new}
             for record in new:
                 if not late or last[record.kind, record.key] == record.number:
                     node.on_agreed(self.now, record)
-            self.given[number] = len(self.ledger.log)
+            self.delivered[number] = len(self.ledger.log)
 
     @rule(kept=st.integers(0, 3), crash=st.booleans())
     def take_over(self, kept, crash):
@@ -277,8 +279,11 @@
             self.ledger.append(*item)
         self.waiting.clear()
         if crash:
-            self.nodes[self.who], self.given[self.who] = self.fresh(self.who), 0
-        self.who, self.epoch_ = 1 - self.who, self.epoch_ + 1
+            self.nodes[self.coordinator], self.delivered[self.coordinator] = (
+                self.new_node(self.coordinator),
+                0,
+            )
+        self.coordinator, self.epoch_ = 1 - self.coordinator, self.epoch_ + 1
 
     @invariant()
     def all_agreed(self):
@@ -289,7 +294,7 @@
 
 def test_steps_under_any_order_of_events():
     run_state_machine_as_test(
-        Steps,
+        SplitSteps,
         settings=settings(
             max_examples=120, stateful_step_count=40, derandomize=True, deadline=None, database=None
         ),
@@ -299,14 +304,14 @@
 # ---- routes and the owner's file ------------------------------------------------------------------------
 
 
-def test_a_group_never_split_is_at_home_where_it_is_without_the_fleet():
+def test_unsplit_group_has_the_same_affinity_without_the_fleet():
     fleet = Fleet((8,), ())
     fleet.apply(ListUpdate(ListMode.COMPLETE, tuple(EngineEntry(e, EngineState.LIVE) for e in ENGINES)), 0.0)
     for group in range(50):
         assert order(group, 0, ENGINES) == tuple(e.entry.engine for e in fleet.order(group))
 
 
-def test_doubling_moves_keys_into_the_new_part_alone_and_parts_have_homes_of_their_own():
+def test_doubling_moves_keys_only_into_new_parts_with_homes_of_their_own():
     keys = [str(n).encode() for n in range(2000)]
     for parts in (1, 2, 4):
         moved = [part_of(17, k, 2 * parts) - part_of(17, k, parts) for k in keys]
@@ -316,10 +321,10 @@
     assert len({router.part_order(g, p)[0] for g in range(40) for p in range(2)}) >= 10
     for key in keys[:50]:
         homes = router.allowed([one, two], 17, key)
-        assert homes[0] == router.order(two, 17, key)[0] and router.order(one, 17, key)[0] in homes
+        assert homes[0] == router.key_order(two, 17, key)[0] and router.key_order(one, 17, key)[0] in homes
 
 
-def test_the_owners_file_is_whole_or_not_at_all(tmp_path, monkeypatch):
+def test_owner_file_is_written_atomically(tmp_path, monkeypatch):
     path = tmp_path / "splits.json"
     split = Split("s", 17, 1, 2, Step.AGREED, 5, 9, ("e1", "e2"))
     first, second = SplitNews((split,), Map()), SplitNews((split,), Map().with_shape(Shape(1, 17, 2, "s")))
