--- a/aspenrill/fleet/kept/__init__.py
+++ b/aspenrill/fleet/kept/__init__.py
@@ -1,1 +1,1 @@
-"""Answers kept for some seconds, and served again only while that is known to be true."""
+"""Cache of answers, served only under a lease and until a purge invalidates them."""
--- a/aspenrill/fleet/kept/policy.py
+++ b/aspenrill/fleet/kept/policy.py
@@ -1,4 +1,4 @@
-"""Whose answers are kept and for how long: `[fleet.kept]` and `[fleet.purges]`, each fault by its field.
+"""Settings of the answer cache and of purges, `[fleet.kept]` and `[fleet.purges]`.
 
 [fleet.kept]
 enabled = true
@@ -6,7 +6,7 @@
 [[fleet.kept.class]]
 name = "lookup"        # a class whose effect is repeatable, and no load
 seconds = 5.0
-tenants = ["shop"]     # none named: all
+tenants = ["shop"]     # empty or absent: all
 
 [fleet.purges]
 enabled = true
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """One class: its name, seconds for which an answer is kept from when its query was sent, and whose."""
+    """One class: its name, seconds an answer stays valid after its query was sent, and its tenants."""
 
     name: str
     seconds: float
@@ -35,8 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """`joins`: that wait for one fetch; `wait`: seconds that each of them waits at most; `loads`: classes
-    that write, by their number."""
+    """Cache rules by class number.
+
+    `loads` are the numbers of classes that write. Up to `joins` requests may wait for one fetch, each for up
+    to `wait` seconds.
+    """
 
     rules: dict[int, Rule] = field(default_factory=dict)
     loads: frozenset[int] = frozenset()
@@ -45,15 +48,18 @@
     wait: float = 1.0
 
     def rule(self, cls: int, tenant: int) -> Rule | None:
-        """The rule for a request; None where its answer is not kept."""
+        """The rule for a request; None if its answer is not cached."""
         rule = self.rules.get(cls)
         return rule if rule is not None and (rule.tenants is None or tenant in rule.tenants) else None
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeSettings:
-    """`enabled`: the part runs; `lease`: seconds for which the coordinator lets answers be served; `folder`:
-    where the operator's purges are put, `state`: the file that tells how they stand. Empty: none."""
+    """Settings of purges.
+
+    `lease` is the length in seconds of the coordinator's leases, `folder` the folder for operators' purge
+    files, `state` the state file. Empty paths disable the folder or file.
+    """
 
     lease: float = 6.0
     folder: str = ""
@@ -64,9 +70,9 @@
 def read_kept(
     fleet: Reader, names: Sequence[str], classes: Sequence[api.QueryClass], tenants: Sequence[str]
 ) -> Policy:
-    """The policy of `[fleet.kept]`; nothing is kept where it is absent or off. Faults go to the reader."""
+    """The policy of `[fleet.kept]`; without rules if absent or disabled. Faults go to the reader."""
     row = fleet.table_of("kept")
-    on = row.flag("enabled", False)
+    enabled = row.flag("enabled", False)
     bounds = Bounds(
         int(row.number("most_entries", 10_000, 1, 10_000_000)),
         int(row.number("most_mb", 32, 1, 1 << 16) * (1 << 20)),
@@ -77,8 +83,8 @@
     listed = []
     for table in row.tables("class"):
         name, seconds = table.choice("name", tuple(names)), table.number("seconds", None, 0.05, 3600)
-        whose = table.texts("tenants")
-        for tenant in whose:
+        allowed = table.texts("tenants")
+        for tenant in allowed:
             if tenant not in tenants:
                 table.fault("tenants", f"no such tenant: {tenant!r}")
         listed.append(name)
@@ -91,17 +97,19 @@
             rules[cls] = Rule(
                 name,
                 seconds,
-                frozenset(tenants.index(tenant) for tenant in whose if tenant in tenants) if whose else None,
+                frozenset(tenants.index(tenant) for tenant in allowed if tenant in tenants)
+                if allowed
+                else None,
             )
         table.end()
     unique(row, "class", listed)
     row.end()
     loads = frozenset(at for at, cls in enumerate(classes) if cls.is_load)
-    return Policy(rules if on else {}, loads, bounds, joins, wait)
+    return Policy(rules if enabled else {}, loads, bounds, joins, wait)
 
 
 def read_purges(fleet: Reader) -> PurgeSettings:
-    """`[fleet.purges]`. Faults go to the reader."""
+    """The settings of `[fleet.purges]`. Faults go to the reader."""
     row = fleet.table_of("purges")
     found = PurgeSettings(
         row.number("lease_s", 6.0, 1.0, 60.0),
--- a/aspenrill/fleet/kept/scopes.py
+++ b/aspenrill/fleet/kept/scopes.py
@@ -1,8 +1,7 @@
-"""What a purge covers, as a text that is also its key: `all`, `c:CLASS`, or `g` and the slot of a table
-group.
+"""Scopes of purges as strings, which are also their keys: `all`, `c:CLASS`, or `g` and a slot number.
 
-Table groups fall into SLOTS by their number, so that versions and log keys are bounded whatever statements
-name; two groups of one slot are purged together, which costs speed only.
+Table groups are mapped to SLOTS by number, which bounds versions and log keys whatever statements name. Two
+groups in one slot are purged together, which costs only cache hits.
 """
 
 from __future__ import annotations
@@ -14,8 +13,8 @@
 SLOTS = 1024
 ALL = "all"
 PATTERN = r"\A(?:all|g\d{1,4}|c:[^\x00-\x1f]{1,64})\Z"
-READS = {"select", "with"}  # how a statement begins whose answer may be kept
-WRITES = {
+READ_KEYWORDS = {"select", "with"}  # first keywords of statements whose answers may be cached
+WRITE_KEYWORDS = {
     "insert",
     "update",
     "delete",
@@ -34,8 +33,8 @@
     "declare",
     "lock",
 }
-TABLES = {"from", "join", "using"}
-OTHER = {
+TABLE_KEYWORDS = {"from", "join", "using"}
+CLAUSE_KEYWORDS = {
     "where",
     "on",
     "select",
@@ -70,7 +69,7 @@
 
 
 def valid(scope: str) -> bool:
-    """Of the form that goes over the wire."""
+    """Whether a scope is well formed."""
     return _VALID.match(scope) is not None
 
 
@@ -81,15 +80,15 @@
 
 
 def groups_read(statement: str) -> frozenset[int] | None:
-    """The groups of all tables that a query reads; None where it is no plain query, or one of them is
-    unknown.
+    """The groups of all tables that a query reads; None if it is not a plain query or a group is unknown.
 
-    A name without a group where a table is wanted (a view, a function, a common table expression) makes the
-    whole unknown: nothing would say when it has changed.
+    A table name without a group (a view, a function, a common table expression) makes the result unknown,
+    since no purge would report its changes.
     """
     text = sql._bare(statement) if "/*" in statement else statement
     found: set[int] = set()
-    wanted, listed = [False], [False]  # by depth of brackets: a table's name is next; more may follow a comma
+    # by nesting depth: a table name is expected; more may follow a comma
+    expects_table, in_list = [False], [False]
     first, last = True, None
     for match in TOKEN.finditer(text):
         name, mark = match["name"], match["mark"]
@@ -97,35 +96,35 @@
             return None  # a second statement
         last = mark or "name"
         if mark == "(":
-            wanted.append(wanted[-1])
-            listed.append(listed[-1])
-            wanted[-2] = False
+            expects_table.append(expects_table[-1])
+            in_list.append(in_list[-1])
+            expects_table[-2] = False
         elif mark == ")":
-            if len(wanted) == 1:
+            if len(expects_table) == 1:
                 return None
-            del wanted[-1], listed[-1]
+            del expects_table[-1], in_list[-1]
         elif mark == ",":
-            wanted[-1] = listed[-1]
+            expects_table[-1] = in_list[-1]
         elif name is not None:
             word = name.lower()
-            if first and word not in READS or word in WRITES:
+            if first and word not in READ_KEYWORDS or word in WRITE_KEYWORDS:
                 return None
             first = False
-            if word in TABLES:
-                wanted[-1] = listed[-1] = True
-            elif word in OTHER:
-                wanted[-1] = listed[-1] = False
-            elif wanted[-1] and word not in ("lateral", "only", "as"):
+            if word in TABLE_KEYWORDS:
+                expects_table[-1] = in_list[-1] = True
+            elif word in CLAUSE_KEYWORDS:
+                expects_table[-1] = in_list[-1] = False
+            elif expects_table[-1] and word not in ("lateral", "only", "as"):
                 group = _group(name)
                 if group is None or text[match.end() :].lstrip().startswith("("):
                     return None
                 found.add(group)
-                wanted[-1] = False
+                expects_table[-1] = False
     return frozenset(found) or None
 
 
 def groups_named(statement: str) -> frozenset[int]:
-    """Every group that a statement names anywhere: more than a load writes, never less."""
+    """All groups that a statement names anywhere: a superset of those that a load writes."""
     text = sql._bare(statement) if "/*" in statement else statement
     names = (match["name"] for match in TOKEN.finditer(text))
     return frozenset(group for name in names if name and (group := _group(name)) is not None)
--- a/aspenrill/fleet/kept/store.py
+++ b/aspenrill/fleet/kept/store.py
@@ -1,10 +1,8 @@
-"""The kept answers of one process: versions by scope, a bound in entries and bytes, and the lease to serve
-them.
+"""The answer cache of one process: versions by scope, bounds in entries and bytes, and the lease to serve.
 
-An answer carries the versions that its query was sent under. A purge raises a version, and whatever was sent
-under an older one is never served, nor kept if it comes later. No I/O. Times are seconds of CLOCK_BOOTTIME,
-read by the caller at the moment of use: a process that was paused finds its lease over before it serves
-anything.
+An answer carries the versions under which its query was sent. A purge raises a version; answers of queries
+sent under an older one are neither served nor cached. No I/O. Times are seconds of CLOCK_BOOTTIME, read by
+the caller at the moment of use, so that a process that was paused notices that its lease has expired.
 """
 
 from __future__ import annotations
@@ -16,22 +14,22 @@
 
 from .scopes import ALL
 
-Key = tuple[int, int, bytes]  # tenant, class, statement: a dict hashes it with a secret and compares it whole
+Key = tuple[int, int, bytes]  # tenant, class, statement; dict hashes are salted and keys compared in full
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How much is kept, in entries and bytes; an answer of more than `most_answer` bytes is not."""
+    """Bounds of the cache in entries and bytes; larger answers than `max_answer_bytes` are not cached."""
 
-    most_entries: int = 10_000
-    most_bytes: int = 32 << 20
-    most_answer: int = 256 << 10
+    max_entries: int = 10_000
+    max_bytes: int = 32 << 20
+    max_answer_bytes: int = 256 << 10
 
 
 @dataclass(frozen=True, slots=True)
 class Stamp:
-    """The scopes that an answer falls under, and their versions when its query was sent."""
+    """The scopes of an answer, and their versions when its query was sent."""
 
     scopes: tuple[str, ...]
     versions: tuple[int, ...]
@@ -39,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An answer as it came, until when it may be served, and the bytes that it counts."""
+    """A cached answer, the time until which it may be served, and its size in bytes."""
 
     result: Any
     stamp: Stamp
@@ -48,44 +46,48 @@
 
 
 class Store:
-    """`purge` and `lease_end` are for the fleet's part, the rest for the requests' side of the same
-    process."""
+    """The cached answers.
+
+    `purge` and `lease_end` are used by the purges component, all else by the request path.
+    """
 
     def __init__(self, bounds: Bounds = Bounds()) -> None:  # noqa: B008 (it is frozen)
         self.bounds = bounds
         self.lease_end = NEVER
         self.versions: dict[str, int] = {}
-        self.answers: OrderedDict[Key, Answer] = OrderedDict()  # the least lately used first
+        self.answers: OrderedDict[Key, Answer] = OrderedDict()  # least recently used first
         self.bytes = 0
         self.hits = self.misses = self.outdated = 0
 
     # ---- versions and the lease -----------------------------------------------------------------------
 
     def purge(self, scope: str) -> None:
-        """What was sent before this moment is never served again. The memory is freed when it is met, or
-        pushed out by what is newer; for `all`, at once."""
+        """Invalidates answers of queries sent before this moment.
+
+        Their memory is freed on lookup or eviction; for `all`, at once.
+        """
         self.versions[scope] = self.versions.get(scope, 0) + 1
         if scope == ALL:
             self.answers.clear()
             self.bytes = 0
 
     def stamp(self, scopes: Iterable[str]) -> Stamp:
-        """What a query that is sent now is sent under."""
-        named = (ALL, *scopes)
-        return Stamp(named, tuple(self.versions.get(scope, 0) for scope in named))
+        """The stamp for a query that is sent now."""
+        all_scopes = (ALL, *scopes)
+        return Stamp(all_scopes, tuple(self.versions.get(scope, 0) for scope in all_scopes))
 
     def current(self, stamp: Stamp) -> bool:
-        """No purge has come since."""
+        """Whether no purge of its scopes has occurred since."""
         return all(self.versions.get(s, 0) == v for s, v in zip(stamp.scopes, stamp.versions, strict=True))
 
     def serves(self, now: float) -> bool:
-        """The lease holds at this moment."""
+        """Whether the lease is running."""
         return now < self.lease_end
 
     # ---- answers --------------------------------------------------------------------------------------
 
     def get(self, now: float, key: Key) -> Any | None:
-        """A kept answer that may be served at this moment."""
+        """A cached answer that may be served now, else None."""
         answer = self.answers.get(key)
         if answer is not None and (now >= answer.until or not self.current(answer.stamp)):
             self._drop(key)
@@ -99,15 +101,15 @@
         return answer.result
 
     def put(self, now: float, key: Key, result: Any, size: int, stamp: Stamp, until: float) -> bool:
-        """Keep an answer that has come, unless a purge has come before it. True where it is kept."""
+        """Caches an answer unless a purge has invalidated it; whether it was cached."""
         size += len(key[2])
-        if now >= until or size > self.bounds.most_answer or not self.current(stamp):
+        if now >= until or size > self.bounds.max_answer_bytes or not self.current(stamp):
             return False
         if key in self.answers:
             self._drop(key)
         self.answers[key] = Answer(result, stamp, until, size)
         self.bytes += size
-        while self.bytes > self.bounds.most_bytes or len(self.answers) > self.bounds.most_entries:
+        while self.bytes > self.bounds.max_bytes or len(self.answers) > self.bounds.max_entries:
             self._drop(next(iter(self.answers)))
         return key in self.answers
 
--- a/aspenrill/fleet/purges/__init__.py
+++ b/aspenrill/fleet/purges/__init__.py
@@ -1,1 +1,1 @@
-"""Purges through the tree of places, with acknowledgements, and the leases under which answers are kept."""
+"""Cache purges down the tree of places with acknowledgements, and leases for serving cached answers."""
--- a/aspenrill/fleet/purges/leases.py
+++ b/aspenrill/fleet/purges/leases.py
@@ -1,14 +1,14 @@
-"""One post in the tree, as who gives leases to those below it and holds one from above.
+"""One node of the lease tree: grants leases to the nodes below it and holds a lease from above.
 
-After Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
-consistency" (1989), in levels: what a post grants ends before its own lease does, and what it calls clear is
-clear at all below it. Who asks counts its lease from when it sent the request; who grants keeps it in its
-books until the holder must have stopped, whatever the drift of either clock (`DRIFT`).
+Hierarchical leases after Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed
+file cache consistency" (1989): a granted lease ends before the node's own lease, and what a node reports as
+clear is clear at all nodes below it. A holder counts its lease from when it sent the request. The grantor
+records it until the holder must have stopped, whatever the drift of either clock (`DRIFT`).
 
-A grant says up to which serial purges were known when it was given: its holder has them before the lease, so
-that nothing older than that serial is served under it. So a post is clear up to a serial when each lease
-that it has given and that is not over was either granted under it or later, or has its holder's
-acknowledgement.
+A grant carries the serial up to which purges were known when it was given. Its holder applies those purges
+before it uses the lease, so nothing older than that serial is served under it. A node is clear up to a serial
+when each running lease that it has granted was granted under that serial or a later one, or its holder has
+acknowledged that serial.
 """
 
 from __future__ import annotations
@@ -17,153 +17,164 @@
 from dataclasses import dataclass, field
 
 from ..interface import DRIFT
-from .wire import MOST_NAME, MOST_NAMES
+from .wire import MAX_NAME_LENGTH, MAX_NAMES
 
 NEVER = float("-inf")
-MARGIN = 0.05  # seconds: what rounding and the granularity of clocks may come to
-LEAST = 0.2  # seconds: a lease of less is not worth its message
-MOST_GRANTS = 16  # of one holder, told apart
-MOST_ASKED = 16  # requests that may still be answered
-MOST_HOLDERS = 2400  # twice the peers, and a few: an old incarnation stays until its lease is over
+MARGIN = 0.05  # seconds for rounding and clock granularity
+MIN_LEASE = 0.2  # seconds; a shorter lease is not worth its message
+MAX_GRANTS = 16  # grants to one holder that are recorded separately
+MAX_PENDING_REQUESTS = 16  # requests whose answers are accepted
+MAX_HOLDERS = 2400  # over twice the peers: an old incarnation stays until its lease has expired
 
 
 def longest(lease: float) -> float:
-    """Seconds after which a lease that a coordinator has granted is over, by anybody's clock."""
+    """Seconds until a lease granted by a coordinator has expired by any process's clock."""
     return lease * (1 + DRIFT) + MARGIN
 
 
 @dataclass(slots=True)
 class Holder:
-    """Who holds leases from this post: until when each lasts, and under which serial it was granted."""
+    """A holder of leases from this node: the end of each lease and the serial it was granted under."""
 
     grants: deque[tuple[float, int]] = field(default_factory=deque)
-    acked: int = 0
-    holders: int = 1  # members at and below it
-    late: int = 0
-    names: list[str] = field(default_factory=list)
-    pushed: float = NEVER  # when it was last told of purges
-    pushes: int = 0  # without an acknowledgement since
+    acknowledged: int = 0  # serial up to which it is clear
+    members: int = 1  # members at and below the holder
+    not_clear: int = 0  # members of these that are not clear
+    names: list[str] = field(default_factory=list)  # the first that are not clear
+    pushed_at: float = NEVER  # when purges were last sent to it
+    unacknowledged_pushes: int = 0  # repeats without an acknowledgement
 
     def floor(self, now: float) -> int | None:
-        """It serves nothing that is older than this serial; None: it serves nothing at all."""
+        """The serial that all answers it serves are newer than; None if it has no running lease."""
         while self.grants and self.grants[0][0] <= now:
             self.grants.popleft()
-        return max(self.acked, self.grants[0][1]) if self.grants else None
+        return max(self.acknowledged, self.grants[0][1]) if self.grants else None
 
     def grant(self, until: float, serial: int) -> None:
-        """One more lease."""
+        """Records a lease."""
         last = self.grants[-1] if self.grants else None
-        if last is not None and (last[1] == serial or len(self.grants) >= MOST_GRANTS):
+        if last is not None and (last[1] == serial or len(self.grants) >= MAX_GRANTS):
             self.grants[-1] = max(until, last[0]), min(serial, last[1])
         else:
             self.grants.append((until if last is None else max(until, last[0]), serial))
 
 
-class Post:
-    """One level of one process. The caller sends what it says and drives it in time."""
+class LeaseNode:
+    """One level of the lease tree at one process. The caller sends its messages and drives it."""
 
     def __init__(self, level: int) -> None:
         self.level = level
-        self.end = NEVER  # of its own lease; the coordinator's post is bound by the authority instead
-        self.above: dict[str, float] = {}  # who has granted it: until when they wait for its acknowledgement
-        self.asked: dict[int, tuple[float, str]] = {}  # by sequence number: when and whom
+        self.lease_end = NEVER  # of its own lease; the coordinator is bound by the authority's lease instead
+        # by grantor: end of the lease, until which it needs acknowledgements
+        self.grantors: dict[str, float] = {}
+        self.pending_requests: dict[int, tuple[float, str]] = {}  # by sequence number: when sent, and to whom
         self.seq = 0
-        self.misses = 0  # requests in a row without an answer
-        self.next_ask = NEVER
-        self.wanted = NEVER  # when somebody below last asked
-        self.below: dict[tuple[str, int], Holder] = {}
-        self.behind: set[tuple[str, int]] = set()  # of those, who is not known to have all that is seen
+        self.unanswered = 0  # consecutive requests without an answer
+        self.next_request_at = NEVER
+        self.last_requested_at = NEVER  # when a node below last requested a lease
+        self.holders: dict[tuple[str, int], Holder] = {}
+        self.lagging: set[tuple[str, int]] = set()  # holders that are not known to have all purges seen here
         self.cleared = 0
 
     # ---- as a holder ----------------------------------------------------------------------------------
 
-    def ask(self, now: float, whom: str) -> int:
-        """A request is being sent; gives its number."""
+    def start_request(self, now: float, grantor: str) -> int:
+        """Registers a request that is being sent; its sequence number."""
         self.seq += 1
-        self.asked[self.seq] = now, whom
-        if len(self.asked) > MOST_ASKED:
-            del self.asked[next(iter(self.asked))]
+        self.pending_requests[self.seq] = now, grantor
+        if len(self.pending_requests) > MAX_PENDING_REQUESTS:
+            del self.pending_requests[next(iter(self.pending_requests))]
         return self.seq
 
-    def granted(self, now: float, sender: str, seq: int, seconds: float) -> bool:
-        """The answer to a request: a lease from when that was sent. False where it answers none of them."""
-        if self.asked.get(seq, (0.0, ""))[1] != sender:
+    def on_grant(self, now: float, sender: str, seq: int, seconds: float) -> bool:
+        """Takes a lease that counts from when its request was sent; False if there is no such request."""
+        if self.pending_requests.get(seq, (0.0, ""))[1] != sender:
             return False
-        sent = self.asked.pop(seq)[0]
-        end = sent + seconds
-        self.end = max(self.end, end)
-        self.misses = 0
-        self.above[sender] = max(end, self.above.get(sender, NEVER))
-        self.above = {name: until for name, until in self.above.items() if until > now}
+        sent_at = self.pending_requests.pop(seq)[0]
+        end = sent_at + seconds
+        self.lease_end = max(self.lease_end, end)
+        self.unanswered = 0
+        self.grantors[sender] = max(end, self.grantors.get(sender, NEVER))
+        self.grantors = {name: until for name, until in self.grantors.items() if until > now}
         return True
 
-    # ---- as who grants --------------------------------------------------------------------------------
+    # ---- as a grantor ---------------------------------------------------------------------------------
 
-    def grant(self, now: float, who: tuple[str, int], serial: int, root: float | None = None) -> float:
-        """Seconds of a lease for a holder; 0: none. `root`: the coordinator's, which has none above it."""
-        if root is not None:
-            seconds, until = root, now + longest(root)
+    def grant(
+        self, now: float, holder_id: tuple[str, int], serial: int, root_lease: float | None = None
+    ) -> float:
+        """Grants a lease; its seconds, 0 for none. `root_lease`: length of the coordinator's leases."""
+        if root_lease is not None:
+            seconds, until = root_lease, now + longest(root_lease)
         else:
-            seconds, until = (self.end - now) / (1 + DRIFT), self.end
-        if seconds < LEAST:
+            seconds, until = (self.lease_end - now) / (1 + DRIFT), self.lease_end
+        if seconds < MIN_LEASE:
             return 0.0
-        holder = self.below.get(who)
+        holder = self.holders.get(holder_id)
         if holder is None:
-            if len(self.below) >= MOST_HOLDERS:
+            if len(self.holders) >= MAX_HOLDERS:
                 return 0.0
-            holder = self.below[who] = Holder()
+            holder = self.holders[holder_id] = Holder()
         holder.grant(until, serial)
         return seconds
 
-    def acknowledged(
-        self, who: tuple[str, int], seen: int, cleared: int, holders: int, late: int, names: list[str]
+    def on_acknowledged(
+        self,
+        holder_id: tuple[str, int],
+        seen: int,
+        cleared: int,
+        members: int,
+        not_clear: int,
+        names: list[str],
     ) -> None:
-        """A holder says how far it and all below it are clear."""
-        holder = self.below.get(who)
+        """A holder reports the serial up to which it and all below it are clear."""
+        holder = self.holders.get(holder_id)
         if holder is None:
             return
-        if cleared >= holder.acked:
-            holder.holders, holder.late, holder.names = holders, late, names
-            if cleared > holder.acked:
-                holder.pushes = 0
-            holder.acked = cleared
+        if cleared >= holder.acknowledged:
+            holder.members, holder.not_clear, holder.names = members, not_clear, names
+            if cleared > holder.acknowledged:
+                holder.unacknowledged_pushes = 0
+            holder.acknowledged = cleared
         if cleared >= seen:
-            self.behind.discard(who)
+            self.lagging.discard(holder_id)
 
-    def advanced(self) -> None:
-        """More purges have been seen: nobody below is known to have them yet."""
-        self.behind = set(self.below)
+    def mark_all_lagging(self) -> None:
+        """New purges have been seen: no holder is known to have them."""
+        self.lagging = set(self.holders)
 
-    def forget(self, who: tuple[str, int]) -> None:
-        """It has given back what it held."""
-        self.below.pop(who, None)
-        self.behind.discard(who)
+    def remove(self, holder_id: tuple[str, int]) -> None:
+        """Removes a holder that has returned its leases."""
+        self.holders.pop(holder_id, None)
+        self.lagging.discard(holder_id)
 
-    def clear(self, now: float, seen: int) -> int:
-        """The serial up to which nothing older is served here or below, and never will be again."""
+    def update_clear(self, now: float, seen: int) -> int:
+        """The serial up to which this node and all below it serve no older answers, now or later."""
         lowest = seen
-        for who in list(self.behind):
-            floor = self.below[who].floor(now)
+        for holder_id in list(self.lagging):
+            floor = self.holders[holder_id].floor(now)
             if floor is None:
-                self.forget(who)
+                self.remove(holder_id)
             elif floor >= seen:
-                self.behind.discard(who)
+                self.lagging.discard(holder_id)
             else:
                 lowest = min(lowest, floor)
         self.cleared = max(self.cleared, lowest)
         return self.cleared
 
-    def sweep(self, now: float) -> None:
-        """Forget those whose leases are over."""
-        for who in [who for who, holder in self.below.items() if holder.floor(now) is None]:
-            self.forget(who)
-
-    def missing(self) -> tuple[int, int, list[str]]:
-        """Members that hold leases below, how many of them are not clear, and the names of the first."""
-        late, names = 0, []
-        for who in sorted(self.behind):
-            holder = self.below[who]
-            late += max(1, holder.late)
-            if len(names) < MOST_NAMES:
-                names += holder.names or [who[0][:MOST_NAME]]
-        return sum(holder.holders for holder in self.below.values()), late, names[:MOST_NAMES]
+    def drop_expired(self, now: float) -> None:
+        """Removes holders whose leases have expired."""
+        for holder_id in [
+            holder_id for holder_id, holder in self.holders.items() if holder.floor(now) is None
+        ]:
+            self.remove(holder_id)
+
+    def not_clear_summary(self) -> tuple[int, int, list[str]]:
+        """Number of members that hold leases below, number and first names of those that are not clear."""
+        not_clear, names = 0, []
+        for holder_id in sorted(self.lagging):
+            holder = self.holders[holder_id]
+            not_clear += max(1, holder.not_clear)
+            if len(names) < MAX_NAMES:
+                names += holder.names or [holder_id[0][:MAX_NAME_LENGTH]]
+        return sum(holder.members for holder in self.holders.values()), not_clear, names[:MAX_NAMES]
--- a/aspenrill/fleet/purges/orders.py
+++ b/aspenrill/fleet/purges/orders.py
@@ -1,4 +1,4 @@
-"""An operator's purge as a TOML file says it; free of I/O.
+"""Parser for an operator's purge in TOML; free of I/O.
 
 what = "group"       # or "class", or "all"
 group = 17           # with "group"
@@ -18,13 +18,12 @@
 from ...reader import Reader
 from ..kept import scopes
 
-MOST_WHY = 120  # characters
+MAX_REASON = 120  # characters
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """What is to be purged. `tag` comes of the file's name and content: the same file again is the same
-    purge."""
+    """A requested purge. `tag` is a hash of the file's name and content: the same file is the same purge."""
 
     scope: str
     why: str
@@ -32,19 +31,19 @@
 
 
 def parse(name: str, content: bytes, classes: Sequence[str]) -> Order:
-    """The order that a file holds. Raises PurgeFileTrouble with all that is wrong with it, by field."""
+    """The order in a file. Raises PurgeFileTrouble with all faults, by field."""
     faults: list[str] = []
     try:
         top = Reader(tomllib.loads(content.decode()), "", faults)
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as why:
-        raise PurgeFileTrouble(f"{name}: {why}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise PurgeFileTrouble(f"{name}: {error}") from None
     what = top.choice("what", ("group", "class", "all"))
     scope = scopes.ALL
     if what == "group":
-        scope = scopes.of_group(_whole(top, "group"))
+        scope = scopes.of_group(_group_number(top, "group"))
     elif what == "class":
         scope = scopes.of_class(top.choice("class", tuple(classes)))
-    why = top.text("why", "")[:MOST_WHY]
+    reason = top.text("why", "")[:MAX_REASON]
     top.end()
     if not faults and not scopes.valid(scope):
         top.fault("class", "a name of at most 64 characters is wanted")
@@ -52,12 +51,12 @@
         raise PurgeFileTrouble(f"{name}: {'; '.join(faults)}")
     return Order(
         scope,
-        f"operator: {why}" if why else "operator",
+        f"operator: {reason}" if reason else "operator",
         xxhash.xxh3_128_hexdigest(name.encode(errors="surrogateescape") + b"\0" + content),
     )
 
 
-def _whole(row: Reader, name: str) -> int:
+def _group_number(row: Reader, name: str) -> int:
     value = row.raw(name, int, None, "the number of a table group")
     if value is not None and not 0 <= value <= 999_999_999:
         row.fault(name, f"must be 0 to 999999999, got {value}")
--- a/aspenrill/fleet/purges/origin.py
+++ b/aspenrill/fleet/purges/origin.py
@@ -1,9 +1,8 @@
-"""The purges that began at this process, until they are complete: on disk, spread, wanted, and how they
-stand.
+"""Purges that began at this process: storage, repetition and progress until they are complete.
 
-A purge goes through: accepted (on this disk), acknowledged (by site, and by all), agreed (on the disks of a
-majority, under a serial), complete (and no lease is left under which an older answer could be served). What
-is not complete is repeated, and goes on after a restart under its old id.
+States of a purge: accepted (on this disk), acknowledged (by each site, then by all), agreed (on the disks of
+a majority, under a serial), complete (no lease is left under which an older answer could be served). An
+incomplete purge is repeated, and continues after a restart under its id.
 """
 
 from __future__ import annotations
@@ -15,17 +14,19 @@
 from ..interface import Effect, Inform, Note, Store
 from ..kept.scopes import ALL
 from . import wire
-from .spread import START, Pos
-from .wire import Heard, Item, Saved, Told
+from .spread import START, Position
+from .wire import Item, Saved, SpreadAck, Told
 
-PREFIX, LOAD = "purge/", "load/"
-HISTORY = 32  # complete ones that are still told of
-FIRST, SLOWEST = 0.4, 3.0  # seconds between two repeats: the first, and the most
+PURGE_PREFIX = "purge/"  # key prefix of stored purges
+LOAD_PREFIX = "load/"  # key prefix of stored open loads
+HISTORY = 32  # complete purges that stay in the report
+FIRST_REPEAT = 0.4  # seconds until the first repeat
+MAX_REPEAT = 3.0  # upper bound of the repeat interval, in seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """A fact for the driver: no process serves an answer from before this purge any more."""
+    """A fact for the driver: no process serves answers from before this purge."""
 
     origin: str
     incarnation: int
@@ -36,162 +37,172 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A fact for the driver: the purge that a file's tag names is on disk."""
+    """A fact for the driver: the purge of the file with this tag is on disk."""
 
     tag: str
 
 
 @dataclass(slots=True)
-class Site:
-    """How a site stands with the purges of this origin."""
+class SiteProgress:
+    """Progress of a site with the purges of this origin."""
 
-    position: Pos = START
+    position: Position = START
     total: int = 0
     done: int = 0
     missing: list[str] = field(default_factory=list)
-    next_send: float = 0.0
-    wait: float = FIRST
-    tries: int = 0  # since it was last heard of
+    next_send_at: float = 0.0
+    interval: float = FIRST_REPEAT
+    tries: int = 0  # since its last acknowledgement
 
 
 @dataclass(slots=True)
 class Purge:
-    """One purge. Times are this process's, since it was accepted or found on disk."""
+    """One purge. Times are by this process's clock; it begins when accepted or restored from disk."""
 
     item: Item
-    why: str
+    reason: str
     tag: str
     began: float
-    acknowledged: dict[str, float] = field(default_factory=dict)  # by site: when all its members had
+    # by site: when all its members had acknowledged
+    acknowledged: dict[str, float] = field(default_factory=dict)
     everywhere: float | None = None
     serial: int = 0
-    agreed: float | None = None
-    complete: float | None = None
+    agreed_at: float | None = None
+    completed_at: float | None = None
     durable: bool = True
 
     @property
-    def position(self) -> Pos:
-        """Its place among those of its origin."""
+    def position(self) -> Position:
+        """Its position in the order of its origin's purges."""
         return self.item[:2]
 
 
 class Origin:
-    """The caller applies a purge here first, then carries out what this says."""
+    """The purges of this process. The caller applies a purge locally, then carries out the effects."""
 
     def __init__(self, name: str, incarnation: int) -> None:
         self.name, self.incarnation = name, incarnation
         self.number = 0
-        self.out: dict[Pos, Purge] = {}  # in their order
-        self.past: deque[Purge] = deque(maxlen=HISTORY)
-        self.sites: dict[str, Site] = {}
-        self.loads: dict[str, int] = {}  # that are open, by scope
-        self.next_want = 0.0
-        self.want_wait = FIRST
+        self.out: dict[Position, Purge] = {}  # incomplete purges, in order
+        self.completed: deque[Purge] = deque(maxlen=HISTORY)
+        self.sites: dict[str, SiteProgress] = {}
+        self.open_loads: dict[str, int] = {}  # number of open loads by scope
+        self.next_request_at = 0.0
+        self.request_interval = FIRST_REPEAT
 
-    # ---- beginning ------------------------------------------------------------------------------------
+    # ---- start ----------------------------------------------------------------------------------------
 
     def start(self, now: float, stored: Mapping[str, bytes]) -> tuple[list[Effect], list[str]]:
-        """What a former life has left. Gives the scopes to be purged anew beside it: of loads whose end was
-        not seen, and everything where a record is damaged."""
+        """Restores the state of the previous incarnation.
+
+        Returns effects and the scopes to purge again: those of loads whose end was not seen, and everything
+        if a record is damaged.
+        """
         effects: list[Effect] = []
-        again = []
+        scopes = []
         for key in sorted(stored):
-            if key.startswith(LOAD):
-                scope = key.removeprefix(LOAD)
-                again.append(scope)
+            if key.startswith(LOAD_PREFIX):
+                scope = key.removeprefix(LOAD_PREFIX)
+                scopes.append(scope)
                 effects.append(Store(key, None))
-            elif key.startswith(PREFIX):
+            elif key.startswith(PURGE_PREFIX):
                 saved = wire.saved(stored[key])
                 if saved is None or saved.incarnation > self.incarnation:
                     effects += [
                         Note(
-                            f"fleet-state: record {key} is damaged and was refused whole; all is "
-                            "purged in its place"
+                            f"fleet-state: record {key} is damaged and was ignored; "
+                            "everything is purged instead"
                         ),
                         Store(key, None),
                     ]
-                    again.append(ALL)
+                    scopes.append(ALL)
                     continue
                 item = (saved.incarnation, saved.number, saved.scope)
-                self.out[item[:2]] = Purge(item, saved.why, saved.tag, now)
+                self.out[item[:2]] = Purge(item, saved.reason, saved.tag, now)
                 if saved.incarnation == self.incarnation:
                     self.number = max(self.number, saved.number)
         self.out = dict(sorted(self.out.items()))
-        return effects, again
+        return effects, scopes
+
+    def accept(self, now: float, scope: str, reason: str, tag: str = "") -> tuple[Purge | None, list[Effect]]:
+        """Begins a purge; None if one with this tag is under way.
 
-    def accept(self, now: float, scope: str, why: str, tag: str = "") -> tuple[Purge | None, list[Effect]]:
-        """A purge begins. None where its tag shows that it has begun already. Where those that are not
-        complete fill a message, it takes everything, and stands for them all."""
+        If the incomplete purges no longer fit into a message, one purge of everything replaces them all.
+        """
         if tag and any(purge.tag == tag for purge in self.out.values()):
             return None, [Inform(Accepted(tag))]
-        folded: list[Purge] = []
-        if sum(map(wire.size, self.items)) + wire.size((0, 0, scope)) > wire.MOST_BYTES:
-            scope, folded = ALL, list(self.out.values())
-            why = f"{why}; stands for {len(folded)} before it that are not complete"[:200]
+        replaced: list[Purge] = []
+        if sum(map(wire.size, self.items)) + wire.size((0, 0, scope)) > wire.MAX_LIST_BYTES:
+            scope, replaced = ALL, list(self.out.values())
+            reason = f"{reason}; stands for {len(replaced)} before it that are not complete"[:200]
             self.out.clear()
         self.number += 1
-        purge = Purge((self.incarnation, self.number, scope), why, tag, now)
+        purge = Purge((self.incarnation, self.number, scope), reason, tag, now)
         self.out[purge.position] = purge
-        self.next_want, self.want_wait = now, FIRST
+        self.next_request_at, self.request_interval = now, FIRST_REPEAT
         for site in self.sites.values():
-            site.next_send, site.wait = now, FIRST
+            site.next_send_at, site.interval = now, FIRST_REPEAT
         effects: list[Effect] = [_store(purge)]
-        effects += [Store(_key(old.position), None) for old in folded]
-        if folded:
-            effects.append(Note(f"purges: {len(folded)} from here are not complete; all is purged instead"))
+        effects += [Store(_key(old.position), None) for old in replaced]
+        if replaced:
+            effects.append(
+                Note(f"purges: {len(replaced)} from here are incomplete; replaced by a purge of everything")
+            )
         if tag:
             effects.append(Inform(Accepted(tag)))
         return purge, effects
 
-    def load(self, scope: str, ended: bool) -> list[Effect]:
-        """A load is open, or no more: on disk, so that a restart purges what it may have written."""
-        count = self.loads.get(scope, 0)
+    def on_load(self, scope: str, ended: bool) -> list[Effect]:
+        """Stores that a load is open or has ended, so that a restart purges what it may have written."""
+        count = self.open_loads.get(scope, 0)
         if ended:
             if count > 1:
-                self.loads[scope] = count - 1
-            elif self.loads.pop(scope, None) is not None:
-                return [Store(LOAD + scope, None)]
+                self.open_loads[scope] = count - 1
+            elif self.open_loads.pop(scope, None) is not None:
+                return [Store(LOAD_PREFIX + scope, None)]
             return []
-        self.loads[scope] = count + 1
-        return [Store(LOAD + scope, b"1")] if not count else []
+        self.open_loads[scope] = count + 1
+        return [Store(LOAD_PREFIX + scope, b"1")] if not count else []
 
     def on_disk(self) -> None:
-        """A record could not be written, nor those of the same call behind it: all are tried again, the
-        purges go on meanwhile."""
+        """A record and those after it in the same call were not written: all are tried again.
+
+        The purges continue meanwhile.
+        """
         for purge in self.out.values():
             purge.durable = False
 
-    # ---- in time --------------------------------------------------------------------------------------
+    # ---- repetition -----------------------------------------------------------------------------------
 
-    def due(self, now: float, sites: list[str]) -> list[str]:
-        """The sites that are to be sent what is out, now."""
-        self.sites = {name: self.sites.get(name) or Site() for name in sites}
+    def due_sites(self, now: float, sites: list[str]) -> list[str]:
+        """The sites to which the incomplete purges are due to be sent."""
+        self.sites = {name: self.sites.get(name) or SiteProgress() for name in sites}
         last = self.last
         found = []
         for name, site in self.sites.items():
-            if self.out and site.position < last and site.next_send <= now:
-                site.next_send = now + site.wait
-                site.wait = min(SLOWEST, site.wait * 1.5)
+            if self.out and site.position < last and site.next_send_at <= now:
+                site.next_send_at = now + site.interval
+                site.interval = min(MAX_REPEAT, site.interval * 1.5)
                 site.tries += 1
                 found.append(name)
         return found
 
-    def wanted(self, now: float) -> list[Item]:
-        """The purges that the coordinator is to be asked for, now."""
-        if not self.out or self.next_want > now:
+    def due_requests(self, now: float) -> list[Item]:
+        """The purges that are due to be requested from the coordinator."""
+        if not self.out or self.next_request_at > now:
             return []
-        self.next_want = now + self.want_wait
-        self.want_wait = min(SLOWEST, self.want_wait * 1.5)
+        self.next_request_at = now + self.request_interval
+        self.request_interval = min(MAX_REPEAT, self.request_interval * 1.5)
         return [purge.item for purge in self.out.values()]
 
-    def hurry(self, now: float) -> None:
-        """There is another coordinator, or other relays: say it all again."""
-        self.next_want, self.want_wait = now, FIRST
+    def resend_now(self, now: float) -> None:
+        """Makes all messages due at once, after a change of coordinator or relays."""
+        self.next_request_at, self.request_interval = now, FIRST_REPEAT
         for site in self.sites.values():
-            site.next_send, site.wait = now, FIRST
+            site.next_send_at, site.interval = now, FIRST_REPEAT
 
-    def retry(self) -> list[Effect]:
-        """Records that could not be written are tried again."""
+    def retry_stores(self) -> list[Effect]:
+        """Stores records again that could not be written."""
         found: list[Effect] = []
         for purge in self.out.values():
             if not purge.durable:
@@ -200,44 +211,44 @@
         return found
 
     @property
-    def last(self) -> Pos:
-        """The position of the latest that is out."""
+    def last(self) -> Position:
+        """The position of the latest incomplete purge."""
         return next(reversed(self.out)) if self.out else START
 
     @property
     def items(self) -> list[Item]:
-        """All that are out, oldest first; they fit a message."""
+        """All incomplete purges, oldest first; they fit into a message."""
         return [purge.item for purge in self.out.values()]
 
-    # ---- what comes back ------------------------------------------------------------------------------
+    # ---- answers --------------------------------------------------------------------------------------
 
-    def heard(self, now: float, name: str, heard: Heard) -> None:
-        """A site's relay sums up."""
+    def on_ack(self, now: float, name: str, ack: SpreadAck) -> None:
+        """Takes the acknowledgement of a site's relay."""
         site = self.sites.get(name)
-        if site is None or heard.position < site.position:
+        if site is None or ack.position < site.position:
             return
         site.tries = 0
-        site.position, site.total, site.done = heard.position, heard.total, heard.done
-        site.missing = heard.missing
+        site.position, site.total, site.done = ack.position, ack.total, ack.done
+        site.missing = ack.missing
         for purge in self.out.values():
             if purge.position <= site.position:
                 purge.acknowledged.setdefault(name, now)
                 if purge.everywhere is None and all(s in purge.acknowledged for s in self.sites):
                     purge.everywhere = now
 
-    def told(self, now: float, told: Told) -> list[Effect]:
-        """The coordinator says what is agreed, and what is complete."""
+    def on_status(self, now: float, status: Told) -> list[Effect]:
+        """Takes the coordinator's report of agreed and complete purges."""
         effects: list[Effect] = []
-        for incarnation, number, serial, complete in told.items:
+        for incarnation, number, serial, complete in status.items:
             purge = self.out.get((incarnation, number))
             if purge is None:
                 continue
-            if purge.agreed is None:
-                purge.agreed, purge.serial = now, serial
+            if purge.agreed_at is None:
+                purge.agreed_at, purge.serial = now, serial
             if complete:
-                purge.complete = now
+                purge.completed_at = now
                 del self.out[purge.position]
-                self.past.append(purge)
+                self.completed.append(purge)
                 effects += [
                     Store(_key(purge.position), None),
                     Inform(Complete(self.name, *purge.item, purge.tag)),
@@ -245,9 +256,9 @@
         return effects
 
 
-def _key(position: Pos) -> str:
-    return f"{PREFIX}{position[0]}/{position[1]}"
+def _key(position: Position) -> str:
+    return f"{PURGE_PREFIX}{position[0]}/{position[1]}"
 
 
 def _store(purge: Purge) -> Store:
-    return Store(_key(purge.position), wire.encode(Saved(*purge.item, purge.why, purge.tag)))
+    return Store(_key(purge.position), wire.encode(Saved(*purge.item, purge.reason, purge.tag)))
--- a/aspenrill/fleet/purges/part.py
+++ b/aspenrill/fleet/purges/part.py
@@ -1,8 +1,7 @@
-"""The part of a process that purges: members, relays, coordinator and origin in one, each as far as it is
-called on.
+"""The component for purges: a process is member, relay, coordinator and origin, as its messages require.
 
-It applies purges to the process's store itself, within the call that hears of them: what it acknowledges is
-done.
+Purges are applied to the process's answer cache within the call that receives them, so acknowledged purges
+are done.
 """
 
 from __future__ import annotations
@@ -19,18 +18,19 @@
 from .flows import Flows
 from .origin import Origin, Purge
 from .report import report
-from .root import Root
+from .root import Coordinator
 from .tree import Tree
-from .wire import BUILDING, MEMBER, ROOT, SITE, Ask, Grant, Heard, Spread, Told, Want
+from .wire import BUILDING, MEMBER, ROOT, SITE, Grant, LeaseRequest, Spread, SpreadAck, Told, Want
 
-RETRY = 0.3  # seconds until a request for a lease is repeated
-PUSH, SLOWEST_PUSH = 0.4, 2.0  # seconds until purges are repeated to who has not acknowledged them
-MOST_RECENT = 200  # purges that are passed on one by one; who lacks more drops all that it keeps
-SWEEP = 5.0
+REQUEST_RETRY = 0.3  # seconds until a lease request is repeated
+PUSH_INTERVAL = 0.4  # seconds until purges are first repeated to a holder that has not acknowledged them
+MAX_PUSH_INTERVAL = 2.0  # upper bound of that interval, in seconds
+MAX_RECENT = 200  # purges forwarded one by one; a process that lacks more clears its cache
+SWEEP_INTERVAL = 5.0  # seconds between removals of expired leases
 
 
 class Purges:
-    """A Follower of records of kind `purge`. `keeps`: this process wants leases for answers of its own."""
+    """A Follower of records of kind `purge`. `keeps`: this process caches answers and needs leases."""
 
     name = "purges"
     topics = ("purges",)
@@ -41,185 +41,194 @@
         self, rng: random.Random, store: Store, authority: Authority, lease: float = 6.0, keeps: bool = True
     ) -> None:
         self.rng, self.store, self.authority, self.lease, self.keeps = rng, store, authority, lease, keeps
-        self.seen = 0  # the serial up to which all agreed purges are applied here
-        self.recent: deque[str] = deque(maxlen=MOST_RECENT)  # the scopes of the serials up to it
-        self.posts = self.make_posts()
-        self.root = Root()
-        self.said = [0, 0, 0, 0]  # by level: the serial that was acknowledged upward
-        self.put: int | None = None  # the epoch that others were told of
-        self.next_sweep = self.next_retry = NEVER
+        self.seen = 0  # serial up to which all agreed purges are applied here
+        self.recent: deque[str] = deque(maxlen=MAX_RECENT)  # scopes of the last serials up to `seen`
+        self.lease_nodes = self.make_lease_nodes()
+        self.coordinator = Coordinator()
+        self.acknowledged_serials = [0, 0, 0, 0]  # by level: the serial acknowledged upward
+        self.published_epoch: int | None = None  # the epoch in the own gossip entry
+        self.next_sweep_at = self.next_retry_at = NEVER
 
-    def make_posts(self) -> list[leases.Post]:
-        """One for each level."""
-        return [leases.Post(level) for level in range(4)]
+    def make_lease_nodes(self) -> list[leases.LeaseNode]:
+        """One node for each level of the lease tree."""
+        return [leases.LeaseNode(level) for level in range(4)]
 
-    # ---- what the driver calls ------------------------------------------------------------------------
+    # ---- calls by the driver --------------------------------------------------------------------------
 
     def on_start(self, now: float, view: View, stored: Mapping[str, bytes]) -> list[Effect]:
+        """Restores incomplete purges, and purges again what open loads may have written."""
         self.view, self.tree = view, Tree(view.members)
         self.flows = Flows(view, self.tree, self.store, self._send)
         self.origin = Origin(view.name, view.incarnation)
-        self._open()
-        effects, again = self.origin.start(now, stored)
-        self.out += effects
-        for scope in again:
-            self._begin(now, scope if valid(scope) else ALL, "its end was not seen before the restart")
-        return self._close(now)
+        self._begin_call()
+        effects, scopes = self.origin.start(now, stored)
+        self.effects += effects
+        for scope in scopes:
+            self._start_purge(now, scope if valid(scope) else ALL, "its end was not seen before the restart")
+        return self._finish_call(now)
 
     def on_member(self, now: float, member: Member) -> list[Effect]:
-        self.tree.changed()
+        """The tree has changed; after a failure all purges are sent again."""
+        self.tree.invalidate()
         if not member.there:
-            self.origin.hurry(now)
+            self.origin.resend_now(now)
         return []
 
     def on_entry(self, now: float, entry: Entry) -> list[Effect]:
-        self.origin.hurry(now)  # another coordinator: it is to hear all that is wanted
-        self.posts[SITE].next_ask = NEVER
+        """The coordinator may have changed."""
+        self.origin.resend_now(now)  # a new coordinator needs all incomplete purges
+        self.lease_nodes[SITE].next_request_at = NEVER
         return []
 
     def on_message(self, now: float, sender: str, incarnation: int, body: bytes) -> list[Effect]:
-        self._open()
+        """Handles a message; malformed ones are ignored."""
+        self._begin_call()
         message = wire.decode(body)
         if message is not None:
-            self._take(now, sender, incarnation, message)
-        return self._close(now)
+            self._handle(now, sender, incarnation, message)
+        return self._finish_call(now)
 
     def on_agreed(self, now: float, record: Agreed) -> list[Effect]:
-        self._open()
+        """Applies an agreed purge; the coordinator reports it to its origins."""
+        self._begin_call()
         body = wire.record(record.body)
         if record.kind in self.kinds and body is not None and valid(record.key):
             self.advance(now, body.serial, [record.key])
-            for origin, told in self.root.on_agreed(record.key, body.serial).items():
-                self._tell(origin, told)
-        return self._close(now)
+            for origin, status in self.coordinator.on_agreed(record.key, body.serial).items():
+                self._send_status(origin, status)
+        return self._finish_call(now)
 
     def on_tick(self, now: float) -> list[Effect]:
-        self._open()
+        """Requests leases, repeats messages and removes expired leases."""
+        self._begin_call()
         self._publish(now)
-        for post in self.posts:
-            if post.behind:
-                post.clear(now, self.seen)
-                self._push(now, post, repeat=True)
-            if post.level < ROOT and self._active(now, post) and now >= post.next_ask:
-                self._ask(now, post)
+        for node in self.lease_nodes:
+            if node.lagging:
+                node.update_clear(now, self.seen)
+                self._push(now, node, repeat=True)
+            if node.level < ROOT and self._needs_lease(now, node) and now >= node.next_request_at:
+                self._request_lease(now, node)
         self._send_out(now)
-        if now >= self.next_sweep:
-            self.next_sweep = now + SWEEP
-            for post in self.posts:
-                post.sweep(now)
-        if now >= self.next_retry:
-            self.next_retry = now + SWEEP
-            self.out += self.origin.retry()
-        return self._close(now)
+        if now >= self.next_sweep_at:
+            self.next_sweep_at = now + SWEEP_INTERVAL
+            for node in self.lease_nodes:
+                node.drop_expired(now)
+        if now >= self.next_retry_at:
+            self.next_retry_at = now + SWEEP_INTERVAL
+            self.effects += self.origin.retry_stores()
+        return self._finish_call(now)
 
     def on_disk(self, now: float, key: str) -> list[Effect]:
+        """A record could not be written."""
         self.origin.on_disk()
         return [
             Note(
-                f"fleet-disk: record {key} could not be written; the purge goes on, and the record is "
+                f"fleet-disk: record {key} could not be written; the purge continues, and the record is "
                 "tried again; make room on the disk of [fleet] state"
             )
         ]
 
     def on_leave(self, now: float) -> list[Effect]:
-        self._open()
+        """Returns its leases before the process ends."""
+        self._begin_call()
         self.keeps, self.store.lease_end = False, NEVER
-        for post in self.posts[:ROOT]:
-            post.sweep(now)
-            if not post.below:
-                for name in post.above:
-                    self._send(name, Ask(post.level + 1, 0, 0, 0, 0, 0, [], True))
-                post.above, post.end = {}, NEVER
-        return self._close(now)
-
-    # ---- what begins here -----------------------------------------------------------------------------
-
-    def purge(self, now: float, scope: str, why: str, tag: str = "") -> list[Effect]:
-        """Purge a scope everywhere. With a tag, once however often it is asked for while it is not
-        complete."""
-        self._open()
-        self._begin(now, scope, why, tag)
+        for node in self.lease_nodes[:ROOT]:
+            node.drop_expired(now)
+            if not node.holders:
+                for name in node.grantors:
+                    self._send(name, LeaseRequest(node.level + 1, 0, 0, 0, 0, 0, [], True))
+                node.grantors, node.lease_end = {}, NEVER
+        return self._finish_call(now)
+
+    # ---- purges of this process -----------------------------------------------------------------------
+
+    def purge(self, now: float, scope: str, reason: str, tag: str = "") -> list[Effect]:
+        """Purges a scope at all processes. A tag makes repeated calls one purge until it is complete."""
+        self._begin_call()
+        self._start_purge(now, scope, reason, tag)
         self._send_out(now)
-        return self._close(now)
-
-    def load(self, now: float, news: LoadNews) -> list[Effect]:
-        """A load has been sent, or has ended or may have."""
-        self._open()
-        for scope in news.scopes:
-            if not news.ended:
-                self.out += self.origin.load(scope, False)
-            self._begin(now, scope, "a load has ended" if news.ended else "a load was sent")
-            if news.ended:
-                self.out += self.origin.load(scope, True)
+        return self._finish_call(now)
+
+    def load(self, now: float, update: LoadNews) -> list[Effect]:
+        """Purges the scopes of a load that was sent, or that has ended or may have."""
+        self._begin_call()
+        for scope in update.scopes:
+            if not update.ended:
+                self.effects += self.origin.on_load(scope, False)
+            self._start_purge(now, scope, "a load has ended" if update.ended else "a load was sent")
+            if update.ended:
+                self.effects += self.origin.on_load(scope, True)
         self._send_out(now)
-        return self._close(now)
+        return self._finish_call(now)
 
     def report(self, now: float) -> dict:
-        """How purges and leases stand here: `report.report`."""
+        """State of purges and leases at this process; see `report.report`."""
         return report(self, now)
 
-    def _begin(self, now: float, scope: str, why: str, tag: str = "") -> Purge | None:
-        purge, effects = self.origin.accept(now, scope, why, tag)
-        self.out += effects
+    def _start_purge(self, now: float, scope: str, reason: str, tag: str = "") -> Purge | None:
+        purge, effects = self.origin.accept(now, scope, reason, tag)
+        self.effects += effects
         if purge is not None:
-            for item in self.flows.relay.new(self.view.name, [purge.item]):
+            for item in self.flows.relay.take_new(self.view.name, [purge.item]):
                 self.store.purge(item[2])
         return purge
 
     def _send_out(self, now: float) -> None:
-        """What is out, to the sites and the coordinator that are to hear it now."""
+        """Sends incomplete purges to the sites and the coordinator, as they are due."""
         items = self.origin.items
-        for site in self.origin.due(now, self.tree.sites()):
+        for site in self.origin.due_sites(now, self.tree.sites()):
             relay = self.tree.relay(site, None, self.origin.sites[site].tries - 1)
             if relay is not None:
                 self._send(relay, Spread(SITE, self.view.name, items))
-        wanted, root = self.origin.wanted(now), self._coordinator(now)
-        if wanted and root is not None:
-            self._send(root, Want(wanted))
+        requests, coordinator = self.origin.due_requests(now), self._coordinator_name(now)
+        if requests and coordinator is not None:
+            self._send(coordinator, Want(requests))
 
     # ---- messages -------------------------------------------------------------------------------------
 
-    def _open(self) -> None:
-        self.out: list[Effect] = []
-        self.own: deque[wire.Message] = deque()  # from this process to itself, in another of its posts
+    def _begin_call(self) -> None:
+        self.effects: list[Effect] = []
+        self.own_messages: deque[wire.Message] = deque()  # messages to this process itself, at another level
 
     def _send(self, to: str, message: wire.Message) -> None:
         if to == self.view.name:
-            self.own.append(message)
+            self.own_messages.append(message)
         else:
-            self.out.append(Post(to, wire.encode(message)))
+            self.effects.append(Post(to, wire.encode(message)))
 
-    def _close(self, now: float) -> list[Effect]:
-        """Carry out what this process has told itself, and what follows from all that came."""
-        self._settle(now)
-        while self.own:
-            self._take(now, self.view.name, self.view.incarnation, self.own.popleft())
-            self._settle(now)
-        return self.out
+    def _finish_call(self, now: float) -> list[Effect]:
+        """Handles messages to this process itself and their consequences; the effects of the call."""
+        self._propagate(now)
+        while self.own_messages:
+            self._handle(now, self.view.name, self.view.incarnation, self.own_messages.popleft())
+            self._propagate(now)
+        return self.effects
 
-    def _take(self, now: float, sender: str, incarnation: int, message: wire.Message) -> None:
+    def _handle(self, now: float, sender: str, incarnation: int, message: wire.Message) -> None:
         match message:
-            case Ask():
-                self._on_ask(now, (sender, incarnation), message)
+            case LeaseRequest():
+                self._on_lease_request(now, (sender, incarnation), message)
             case Grant():
                 self._on_grant(now, sender, message)
             case Spread():
                 self.flows.on_spread(sender, message)
-            case Heard():
-                if self.flows.on_heard(sender, message):
-                    self.origin.heard(now, self.view.members()[sender].place.site, message)
+            case SpreadAck():
+                if self.flows.on_ack(sender, message):
+                    self.origin.on_ack(now, self.view.members()[sender].place.site, message)
             case Want():
-                if self._office(now):
-                    self._tell(sender, self.root.want(sender, message.purges))
+                if self._is_coordinator(now):
+                    self._send_status(sender, self.coordinator.on_request(sender, message.purges))
             case Told():
-                self.out += self.origin.told(now, message)
+                self.effects += self.origin.on_status(now, message)
 
     # ---- serials and leases ---------------------------------------------------------------------------
 
     def advance(self, now: float, serial: int, scopes: list[str]) -> None:
-        """Apply agreed purges up to a serial; `scopes` are those of the last ones. Where some are missing
-        between, all that is kept goes: a log that lets the later of a scope stand for the earlier may never
-        tell them."""
+        """Applies agreed purges up to a serial; `scopes` are those of the last ones.
+
+        If some in between are missing, the whole cache is cleared: the log supersedes earlier records of a
+        scope by later ones and may never report them.
+        """
         missing = serial - self.seen
         if missing <= 0:
             return
@@ -232,137 +241,149 @@
             self.recent.clear()
         self.recent.extend(scopes)
         self.seen = serial
-        for post in self.posts[BUILDING:]:
-            post.advanced()
-            post.clear(now, self.seen)
-            self._push(now, post)
-
-    def _push(self, now: float, post: leases.Post, repeat: bool = False) -> None:
-        """Tell those below what they may not have; again after a while."""
-        for who in sorted(post.behind):
-            holder = post.below[who]
-            wait = min(SLOWEST_PUSH, PUSH * 1.5 ** min(holder.pushes, 8))
-            if not repeat or holder.pushed + wait <= now:
-                holder.pushes = holder.pushes + 1 if repeat else 0
-                holder.pushed = now
-                self._send(who[0], Grant(post.level - 1, 0, 0.0, self.seen, self._later(holder.acked)))
-
-    def _later(self, serial: int) -> list[str]:
-        """The scopes after a serial, the latest as many as fit."""
+        for node in self.lease_nodes[BUILDING:]:
+            node.mark_all_lagging()
+            node.update_clear(now, self.seen)
+            self._push(now, node)
+
+    def _push(self, now: float, node: leases.LeaseNode, repeat: bool = False) -> None:
+        """Sends recent purges to holders that may lack them; repeats with increasing intervals."""
+        for holder_id in sorted(node.lagging):
+            holder = node.holders[holder_id]
+            wait = min(MAX_PUSH_INTERVAL, PUSH_INTERVAL * 1.5 ** min(holder.unacknowledged_pushes, 8))
+            if not repeat or holder.pushed_at + wait <= now:
+                holder.unacknowledged_pushes = holder.unacknowledged_pushes + 1 if repeat else 0
+                holder.pushed_at = now
+                self._send(
+                    holder_id[0],
+                    Grant(node.level - 1, 0, 0.0, self.seen, self._scopes_after(holder.acknowledged)),
+                )
+
+    def _scopes_after(self, serial: int) -> list[str]:
+        """The scopes after a serial; only the latest ones if not all fit into a message."""
         found: list[str] = []
-        room = wire.MOST_BYTES
+        remaining = wire.MAX_LIST_BYTES
         for scope in reversed(self.recent):
-            room -= wire.size(scope)
-            if room < 0 or len(found) >= self.seen - serial:
+            remaining -= wire.size(scope)
+            if remaining < 0 or len(found) >= self.seen - serial:
                 break
             found.append(scope)
         return found[::-1]
 
-    def _active(self, now: float, post: leases.Post) -> bool:
-        return self.keeps if post.level == MEMBER else now < post.wanted + self.lease
+    def _needs_lease(self, now: float, node: leases.LeaseNode) -> bool:
+        return self.keeps if node.level == MEMBER else now < node.last_requested_at + self.lease
 
-    def _parent(self, now: float, post: leases.Post) -> str | None:
+    def _parent(self, now: float, node: leases.LeaseNode) -> str | None:
         place = self.view.place
-        if post.level == SITE:
-            return self._coordinator(now)
-        return self.tree.relay(place.site, place.building if post.level == MEMBER else None, post.misses)
-
-    def _ask(self, now: float, post: leases.Post) -> None:
-        """A lease from the level above, with the acknowledgement of what is clear."""
-        post.next_ask = now + RETRY * self.rng.uniform(0.8, 1.2)
-        parent = self._parent(now, post)
+        if node.level == SITE:
+            return self._coordinator_name(now)
+        return self.tree.relay(place.site, place.building if node.level == MEMBER else None, node.unanswered)
+
+    def _request_lease(self, now: float, node: leases.LeaseNode) -> None:
+        """Requests a lease from the level above and acknowledges what is clear."""
+        node.next_request_at = now + REQUEST_RETRY * self.rng.uniform(0.8, 1.2)
+        parent = self._parent(now, node)
         if parent is not None:
-            seq = post.ask(now, parent)
-            post.misses += 1
-            self._send(parent, self._status(now, post, seq))
-
-    def _status(self, now: float, post: leases.Post, seq: int) -> Ask:
-        cleared = post.clear(now, self.seen)
-        self.said[post.level] = max(cleared, self.said[post.level])
-        holders, late, names = post.missing() if post.level else (1, 0, [])
-        return Ask(post.level + 1, seq, self.seen, cleared, holders, late, names)
-
-    def _on_ask(self, now: float, who: tuple[str, int], ask: Ask) -> None:
-        if ask.level == MEMBER:
+            seq = node.start_request(now, parent)
+            node.unanswered += 1
+            self._send(parent, self._status(now, node, seq))
+
+    def _status(self, now: float, node: leases.LeaseNode, seq: int) -> LeaseRequest:
+        cleared = node.update_clear(now, self.seen)
+        self.acknowledged_serials[node.level] = max(cleared, self.acknowledged_serials[node.level])
+        members, not_clear, names = node.not_clear_summary() if node.level else (1, 0, [])
+        return LeaseRequest(node.level + 1, seq, self.seen, cleared, members, not_clear, names)
+
+    def _on_lease_request(self, now: float, holder_id: tuple[str, int], request: LeaseRequest) -> None:
+        if request.level == MEMBER:
             return
-        post = self.posts[ask.level]
-        if ask.back:
-            post.forget(who)
+        node = self.lease_nodes[request.level]
+        if request.returned:
+            node.remove(holder_id)
             return
-        if ask.level == ROOT and not self._office(now):
+        if request.level == ROOT and not self._is_coordinator(now):
             return
-        if not self._active(now, post):
-            post.next_ask = NEVER  # somebody calls on it: it needs a lease itself, now
-        post.wanted = now
-        if ask.seq:
-            seconds = post.grant(now, who, self.seen, self.lease if ask.level == ROOT else None)
+        if not self._needs_lease(now, node):
+            node.next_request_at = NEVER  # to serve a node below, this one needs a lease itself at once
+        node.last_requested_at = now
+        if request.seq:
+            seconds = node.grant(now, holder_id, self.seen, self.lease if request.level == ROOT else None)
             if seconds:
-                self._send(who[0], Grant(ask.level - 1, ask.seq, seconds, self.seen, self._later(ask.seen)))
-            elif ask.level < ROOT and now >= post.next_ask:
-                self._ask(now, post)
-        post.acknowledged(who, self.seen, ask.cleared, ask.holders, ask.late, ask.names)
+                self._send(
+                    holder_id[0],
+                    Grant(
+                        request.level - 1, request.seq, seconds, self.seen, self._scopes_after(request.seen)
+                    ),
+                )
+            elif request.level < ROOT and now >= node.next_request_at:
+                self._request_lease(now, node)
+        node.on_acknowledged(
+            holder_id, self.seen, request.cleared, request.members, request.not_clear, request.names
+        )
 
     def _on_grant(self, now: float, sender: str, grant: Grant) -> None:
-        """What is newer first, then the lease: it may rest on it."""
+        """Applies the purges of a grant before its lease, which depends on them."""
         if grant.level == ROOT:
             return
-        post = self.posts[grant.level]
+        node = self.lease_nodes[grant.level]
         if not grant.seq:
             if grant.serial <= self.seen:
-                self._send(sender, self._status(now, post, 0))  # the acknowledgement was lost
+                self._send(sender, self._status(now, node, 0))  # the acknowledgement was lost
             self.advance(now, grant.serial, grant.recent)
             return
-        if grant.seq in post.asked:
+        if grant.seq in node.pending_requests:
             self.advance(now, grant.serial, grant.recent)
-        if post.granted(now, sender, grant.seq, grant.seconds):
-            post.next_ask = now + self.lease / 6 * self.rng.uniform(0.8, 1.0)
-            if post.level == MEMBER and self.keeps:
-                self.store.lease_end = post.end
+        if node.on_grant(now, sender, grant.seq, grant.seconds):
+            node.next_request_at = now + self.lease / 6 * self.rng.uniform(0.8, 1.0)
+            if node.level == MEMBER and self.keeps:
+                self.store.lease_end = node.lease_end
 
     # ---- the coordinator ------------------------------------------------------------------------------
 
-    def _coordinator(self, now: float) -> str | None:
-        """Who says that it coordinates, in the highest epoch."""
+    def _coordinator_name(self, now: float) -> str | None:
+        """The process that announces the highest epoch as coordinator."""
         if self.authority.coordinating(now) is not None:
             return self.view.name
-        best = (-1, "")
+        highest = (-1, "")
         for entry in self.view.entries("purges"):
             if entry.value.isdigit() and len(entry.value) < 20 and entry.origin != self.view.name:
-                best = max(best, (int(entry.value), entry.origin))
-        return best[1] or None
+                highest = max(highest, (int(entry.value), entry.origin))
+        return highest[1] or None
 
     def _publish(self, now: float) -> None:
         epoch = self.authority.coordinating(now)
-        if epoch != self.put:
-            self.put = epoch
-            self.out.append(Put("purges", str(epoch).encode() if epoch is not None else b""))
-            self.origin.hurry(now)
+        if epoch != self.published_epoch:
+            self.published_epoch = epoch
+            self.effects.append(Put("purges", str(epoch).encode() if epoch is not None else b""))
+            self.origin.resend_now(now)
 
-    def _office(self, now: float) -> bool:
-        """It coordinates at this moment, and knows all that its predecessors have agreed and granted."""
+    def _is_coordinator(self, now: float) -> bool:
+        """Whether this process is the coordinator at this moment and its log is settled."""
         settled = self.authority.settled(now)
-        self.root.office(self.authority.coordinating(now) if settled else None, self.seen)
+        self.coordinator.set_epoch(self.authority.coordinating(now) if settled else None, self.seen)
         return settled
 
-    def _settle(self, now: float) -> None:
-        """What follows: acknowledgements upward, proposals, and what is complete."""
-        for post in self.posts[:ROOT]:
-            if not post.behind:
-                post.cleared = max(post.cleared, self.seen)
-            if post.cleared > self.said[post.level]:
-                for name, until in post.above.items():
+    def _propagate(self, now: float) -> None:
+        """Sends acknowledgements upward, proposes records and reports complete purges, as they are due."""
+        for node in self.lease_nodes[:ROOT]:
+            if not node.lagging:
+                node.cleared = max(node.cleared, self.seen)
+            if node.cleared > self.acknowledged_serials[node.level]:
+                for name, until in node.grantors.items():
                     if until > now:
-                        self._send(name, self._status(now, post, 0))
-                self.said[post.level] = post.cleared
-        if not (self.root.waiting or self.root.flying or self.root.agreed) or not self._office(now):
+                        self._send(name, self._status(now, node, 0))
+                self.acknowledged_serials[node.level] = node.cleared
+        if not (
+            self.coordinator.queued or self.coordinator.in_flight or self.coordinator.agreed
+        ) or not self._is_coordinator(now):
             return
-        for scope, serial in self.root.proposals(now):
-            self.out += self.authority.propose(now, "purge", scope, wire.encode(wire.Record(serial)))
-        top = self.posts[ROOT]
-        cleared = top.clear(now, self.seen) if not top.behind else top.cleared
-        for origin, told in self.root.cleared(cleared).items():
-            self._tell(origin, told)
-
-    def _tell(self, origin: str, told: Told) -> None:
-        for at in range(0, len(told.items), wire.MOST_TOLD):
-            self._send(origin, Told(told.items[at : at + wire.MOST_TOLD]))
+        for scope, serial in self.coordinator.proposals(now):
+            self.effects += self.authority.propose(now, "purge", scope, wire.encode(wire.Record(serial)))
+        top = self.lease_nodes[ROOT]
+        cleared = top.update_clear(now, self.seen) if not top.lagging else top.cleared
+        for origin, status in self.coordinator.on_cleared(cleared).items():
+            self._send_status(origin, status)
+
+    def _send_status(self, origin: str, status: Told) -> None:
+        for at in range(0, len(status.items), wire.MAX_STATUS_ITEMS):
+            self._send(origin, Told(status.items[at : at + wire.MAX_STATUS_ITEMS]))
--- a/aspenrill/fleet/purges/report.py
+++ b/aspenrill/fleet/purges/report.py
@@ -1,4 +1,4 @@
-"""How a process's purges stand: a plain record for the state file, and one bounded line for the log."""
+"""Report on the purges of a process: for the state file, and as one line of the log."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 if TYPE_CHECKING:
     from .part import Purges
 
-MOST_PURGES = 64
-MOST_SITES = 64
-MOST_LINE = 400  # characters
+MAX_PURGES = 64
+MAX_SITES = 64
+MAX_LINE = 400  # characters
 
 
 def report(part: Purges, now: float) -> dict[str, Any]:
-    """Seconds since each purge was accepted, by site, and what still waits."""
+    """State of leases, cache and purges, with times in seconds since each purge was accepted."""
     origin, store = part.origin, part.store
     coordinating = part.authority.settled(now)
     found: dict[str, Any] = {
@@ -32,16 +32,16 @@
         },
         "serial": part.seen,
         "coordinating": coordinating,
-        "open": [_purge(part, purge) for purge in list(origin.out.values())[:MOST_PURGES]],
-        "complete": [_purge(part, purge) for purge in origin.past],
+        "open": [_purge(part, purge) for purge in list(origin.out.values())[:MAX_PURGES]],
+        "complete": [_purge(part, purge) for purge in origin.completed],
     }
     if coordinating:
-        holders, late, names = part.posts[3].missing()
+        holders, not_clear, names = part.lease_nodes[3].not_clear_summary()
         found["leases"] = {
             "holders": holders,
-            "not_clear": late,
+            "not_clear": not_clear,
             "first": names,
-            "clear_to": part.posts[3].cleared,
+            "clear_to": part.lease_nodes[3].cleared,
         }
     return found
 
@@ -50,36 +50,36 @@
     def since(when: float | None) -> float | None:
         return round(when - purge.began, 3) if when is not None else None
 
-    open_ = purge.complete is None
+    incomplete = purge.completed_at is None
     waits = {}
-    for name, site in list(part.origin.sites.items())[:MOST_SITES] if open_ else ():
+    for name, site in list(part.origin.sites.items())[:MAX_SITES] if incomplete else ():
         if name not in purge.acknowledged:
             waits[name] = {"members": site.total, "done": site.done, "first": list(site.missing)}
     return {
         "id": f"{part.origin.name}/{purge.item[0]}/{purge.item[1]}",
         "what": purge.item[2],
-        "why": purge.why,
+        "why": purge.reason,
         "state": state(purge),
         "on_disk": purge.durable,
-        "agreed_s": since(purge.agreed),
+        "agreed_s": since(purge.agreed_at),
         "acknowledged_s": since(purge.everywhere),
-        "complete_s": since(purge.complete),
-        "sites": {name: since(when) for name, when in list(purge.acknowledged.items())[:MOST_SITES]},
+        "complete_s": since(purge.completed_at),
+        "sites": {name: since(when) for name, when in list(purge.acknowledged.items())[:MAX_SITES]},
         "waits": waits,
     }
 
 
 def state(purge: Purge) -> str:
-    """The furthest that it has come."""
-    if purge.complete is not None:
+    """The latest state that a purge has reached."""
+    if purge.completed_at is not None:
         return "complete"
-    if purge.agreed is not None:
+    if purge.agreed_at is not None:
         return "agreed, not complete"
     return "acknowledged, not complete" if purge.everywhere is not None else "accepted, not complete"
 
 
 def line(found: dict[str, Any]) -> str:
-    """One line for the log, of what is not complete."""
+    """Log line on incomplete purges."""
     if not found["open"]:
         return f"purges: none open, {len(found['complete'])} complete"
     oldest = found["open"][0]
@@ -88,4 +88,4 @@
         for name, site in oldest["waits"].items()
     )
     text = f"purges: {len(found['open'])} open; {oldest['id']} ({oldest['what']}) {oldest['state']}"
-    return (text + (f"; waits for {waits}" if waits else ""))[:MOST_LINE]
+    return (text + (f"; waits for {waits}" if waits else ""))[:MAX_LINE]
--- a/aspenrill/fleet/purges/root.py
+++ b/aspenrill/fleet/purges/root.py
@@ -1,9 +1,9 @@
-"""The coordinator's side: which purges are wanted, proposed, agreed and complete. Only while the authority
-is settled.
+"""The coordinator's state: purges that are requested, proposed, agreed and complete.
 
-One record of a scope is under way at a time: what is wanted of that scope meanwhile goes into the next. Each
-record has a serial of this part's own, without gaps, so that who has missed one knows it. With the office
-all of this is lost; origins say again what they want, and a purge that is agreed twice does no harm.
+Used only while the authority is settled. One record of a scope is in flight at a time; requests for that
+scope meanwhile go into the next one. Each record has a serial, without gaps, so that a process that has
+missed one notices. This state is lost with the coordinator role: origins repeat their requests, and a purge
+that is agreed twice is harmless.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 from .wire import Item, Told
 
-PATIENCE = 3.0  # seconds for a record to be agreed, until it is proposed again
-MOST_FLYING = 64  # records that are proposed and not agreed
-MOST_WANTED = 8192  # purges that are known here at once
-Id = tuple[str, int, int]  # origin, incarnation, number
+AGREEMENT_TIMEOUT = 3.0  # seconds until a record that is not agreed is proposed again
+MAX_IN_FLIGHT = 64  # records that are proposed and not agreed
+MAX_KNOWN = 8192  # purges remembered at the same time
+PurgeId = tuple[str, int, int]  # origin, incarnation, number
 
 
 @dataclass(slots=True)
-class Standing:
-    """Of one purge: `serial` 0: not proposed yet."""
+class PurgeState:
+    """State of one purge; `serial` is 0 until it is agreed."""
 
     scope: str
     serial: int = 0
@@ -29,91 +29,99 @@
     complete: bool = False
 
 
-class Root:
-    """Its caller asks the authority before each use, and says when another office begins."""
+class Coordinator:
+    """Purges at the coordinator. The caller checks the authority before each use."""
 
     def __init__(self) -> None:
         self.epoch: int | None = None
         self._reset()
 
     def _reset(self) -> None:
-        self.known: OrderedDict[Id, Standing] = OrderedDict()
-        self.waiting: dict[str, list[Id]] = {}  # by scope: for the next proposal
-        self.flying: dict[str, tuple[int, list[Id], float]] = {}  # by scope: serial, whose purges, since when
-        self.agreed: dict[int, list[Id]] = {}  # by serial: until complete
-        self.serial = 0  # the last that was proposed
-
-    def office(self, epoch: int | None, seen: int) -> None:
-        """The epoch in which this process coordinates and is settled; None: it does not."""
+        self.known: OrderedDict[PurgeId, PurgeState] = OrderedDict()
+        self.queued: dict[str, list[PurgeId]] = {}  # by scope: purges for the next proposal
+        # by scope: serial, purges, when proposed
+        self.in_flight: dict[str, tuple[int, list[PurgeId], float]] = {}
+        self.agreed: dict[int, list[PurgeId]] = {}  # by serial: purges that are not complete
+        self.serial = 0  # the last one proposed
+
+    def set_epoch(self, epoch: int | None, seen: int) -> None:
+        """Sets the epoch in which this process coordinates (None: it does not); resets the state."""
         if epoch != self.epoch:
             self.epoch = epoch
             self._reset()
             self.serial = seen
 
-    def want(self, origin: str, purges: list[Item]) -> Told:
-        """An origin wants purges agreed; gives how those stand that are known."""
+    def on_request(self, origin: str, purges: list[Item]) -> Told:
+        """An origin requests agreement on purges; the status of those that are agreed."""
         items = []
         for incarnation, number, scope in purges:
-            ident = (origin, incarnation, number)
-            standing = self.known.get(ident)
-            if standing is None:
-                if len(self.known) >= MOST_WANTED and not self._forget():
+            purge_id = (origin, incarnation, number)
+            state = self.known.get(purge_id)
+            if state is None:
+                if len(self.known) >= MAX_KNOWN and not self._evict_complete():
                     continue
-                self.known[ident] = Standing(scope)
-                self.waiting.setdefault(scope, []).append(ident)
-            elif standing.agreed:
-                items.append((incarnation, number, standing.serial, standing.complete))
+                self.known[purge_id] = PurgeState(scope)
+                self.queued.setdefault(scope, []).append(purge_id)
+            elif state.agreed:
+                items.append((incarnation, number, state.serial, state.complete))
         return Told(items)
 
-    def _forget(self) -> bool:
-        """The oldest that is complete makes room."""
-        ident = next((ident for ident, standing in self.known.items() if standing.complete), None)
-        if ident is not None:
-            del self.known[ident]
-        return ident is not None
+    def _evict_complete(self) -> bool:
+        """Removes the oldest complete purge; whether there was one."""
+        purge_id = next((purge_id for purge_id, state in self.known.items() if state.complete), None)
+        if purge_id is not None:
+            del self.known[purge_id]
+        return purge_id is not None
 
     def proposals(self, now: float) -> list[tuple[str, int]]:
-        """Scopes to be proposed now, with their serials; again what the authority seems to have left out."""
-        late = [scope for scope, (_, _, since) in self.flying.items() if now >= since + PATIENCE]
-        for scope in late:
-            self.waiting[scope] = self.flying.pop(scope)[1] + self.waiting.get(scope, [])
+        """Scopes to propose, with their serials; also those whose records were not agreed in time."""
+        timed_out = [
+            scope for scope, (_, _, since) in self.in_flight.items() if now >= since + AGREEMENT_TIMEOUT
+        ]
+        for scope in timed_out:
+            self.queued[scope] = self.in_flight.pop(scope)[1] + self.queued.get(scope, [])
         found = []
-        for scope in [scope for scope in self.waiting if scope not in self.flying]:
-            if len(self.flying) >= MOST_FLYING:
+        for scope in [scope for scope in self.queued if scope not in self.in_flight]:
+            if len(self.in_flight) >= MAX_IN_FLIGHT:
                 break
             self.serial += 1
-            self.flying[scope] = self.serial, self.waiting.pop(scope), now
+            self.in_flight[scope] = self.serial, self.queued.pop(scope), now
             found.append((scope, self.serial))
         return found
 
     def on_agreed(self, scope: str, serial: int) -> dict[str, Told]:
-        """A record is on the disks of a majority; what its origins are told. One that is not known here, of a
-        former office or given up, may have taken a serial twice: all begins anew, beyond any serial used."""
+        """A record is agreed; the messages to its origins.
+
+        A record that is not in flight here is of an earlier coordinator or was given up, and may use a serial
+        a second time. The state is reset then, and serials continue beyond any used one.
+        """
         if self.epoch is None:
             return {}
-        if self.flying.get(scope, (0,))[0] != serial:
+        if self.in_flight.get(scope, (0,))[0] != serial:
             used = max(self.serial, serial)
             self._reset()
             self.serial = used
             return {}
-        idents = self.agreed[serial] = self.flying.pop(scope)[1]
-        for ident in idents:
-            standing = self.known[ident]
-            standing.serial, standing.agreed = serial, True
-        return self._told(idents)
-
-    def cleared(self, serial: int) -> dict[str, Told]:
-        """Nothing older than this serial is served anywhere; what the origins are told."""
-        done = [ident for at in [at for at in self.agreed if at <= serial] for ident in self.agreed.pop(at)]
-        for ident in done:
-            self.known[ident].complete = True
-        return self._told(done)
-
-    def _told(self, idents: list[Id]) -> dict[str, Told]:
+        purge_ids = self.agreed[serial] = self.in_flight.pop(scope)[1]
+        for purge_id in purge_ids:
+            state = self.known[purge_id]
+            state.serial, state.agreed = serial, True
+        return self._statuses(purge_ids)
+
+    def on_cleared(self, serial: int) -> dict[str, Told]:
+        """No process serves answers older than this serial; the messages to the origins of its purges."""
+        completed = [
+            purge_id for at in [at for at in self.agreed if at <= serial] for purge_id in self.agreed.pop(at)
+        ]
+        for purge_id in completed:
+            self.known[purge_id].complete = True
+        return self._statuses(completed)
+
+    def _statuses(self, purge_ids: list[PurgeId]) -> dict[str, Told]:
         found: dict[str, Told] = {}
-        for ident in idents:
-            standing = self.known.get(ident)
-            if standing is not None:
-                told = found.setdefault(ident[0], Told([]))
-                told.items.append((*ident[1:], standing.serial, standing.complete))
+        for purge_id in purge_ids:
+            state = self.known.get(purge_id)
+            if state is not None:
+                status = found.setdefault(purge_id[0], Told([]))
+                status.items.append((*purge_id[1:], state.serial, state.complete))
         return found
--- a/aspenrill/fleet/purges/spread.py
+++ b/aspenrill/fleet/purges/spread.py
@@ -1,8 +1,7 @@
-"""Purges on their way from their origin through relays to members, and the acknowledgements on their way
-back.
+"""State of purges at a relay between their origin and the members, and of acknowledgements on the way back.
 
-A relay keeps no timers: the origin repeats what is not acknowledged, and each repeat goes on to those below
-that have not answered. Repeats and disorder change nothing: positions only rise.
+A relay has no timers: the origin repeats unacknowledged purges, and the relay forwards each repeat to the
+branches that have not answered. Repetition and reordering are harmless, since positions only rise.
 """
 
 from __future__ import annotations
@@ -10,96 +9,98 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from .wire import MOST_NAMES, Heard, Item
+from .wire import MAX_NAMES, Item, SpreadAck
 
-MOST_FLOWS = 2400  # origins times levels that a relay keeps
+MAX_FLOWS = 2400  # pairs of origin and level stored by a relay
 START = (0, 0)
-Pos = tuple[int, int]
+Position = tuple[int, int]
 
 
 @dataclass(slots=True)
 class Branch:
-    """What one relay or member below has said last."""
+    """The last acknowledgement of one relay or member below."""
 
-    position: Pos = START
+    position: Position = START
     total: int = 1
     done: int = 0
     missing: list[str] = field(default_factory=list)
-    tries: int = 0  # messages down since it last answered
+    tries: int = 0  # messages sent to it since its last answer
 
 
 @dataclass(slots=True)
 class Flow:
     """One origin's purges at one relay."""
 
-    above: str  # who has sent them last, and gets the sums
+    sender: str  # the last sender of the purges, which gets the acknowledgements
     purges: list[Item] = field(default_factory=list)
     branches: dict[str, Branch] = field(default_factory=dict)
-    said: Pos = START  # up to where it has been acknowledged upward
+    acknowledged: Position = START  # position acknowledged upward
 
     @property
-    def last(self) -> Pos:
-        """The position of the latest."""
+    def last(self) -> Position:
+        """The position of the latest purge."""
         return self.purges[-1][:2] if self.purges else START
 
 
 class Relay:
-    """The flows through one process at levels 1 and 2, and how far it is itself with each origin."""
+    """The flows through one process as a relay, and the positions that it has applied as a member."""
 
     def __init__(self) -> None:
-        self.flows: OrderedDict[tuple[int, str], Flow] = OrderedDict()  # the least lately used first
-        self.applied: OrderedDict[str, Pos] = OrderedDict()
+        self.flows: OrderedDict[tuple[int, str], Flow] = OrderedDict()  # least recently used first
+        self.applied: OrderedDict[str, Position] = OrderedDict()
 
-    def new(self, origin: str, purges: list[Item]) -> list[Item]:
-        """Those that a member has not applied yet, in their order; from now on it has."""
+    def take_new(self, origin: str, purges: list[Item]) -> list[Item]:
+        """The purges that this member has not applied, in order; marks them as applied."""
         position = self.applied.get(origin, START)
-        found = []
+        new = []
         for item in purges:
             if item[:2] > position:
                 position = item[:2]
-                found.append(item)
+                new.append(item)
         self.applied[origin] = position
         self.applied.move_to_end(origin)
-        if len(self.applied) > MOST_FLOWS:
+        if len(self.applied) > MAX_FLOWS:
             self.applied.popitem(last=False)
-        return found
+        return new
 
-    def came(
-        self, level: int, origin: str, above: str, purges: list[Item], below: dict[str, int]
+    def on_purges(
+        self, level: int, origin: str, sender: str, purges: list[Item], member_counts: dict[str, int]
     ) -> list[str]:
-        """Purges have come from above; `below`: members by branch. Gives the branches to be sent them."""
+        """Takes purges from above; the branches to forward them to. `member_counts` is by branch."""
         flow = self.flows.get((level, origin))
         if flow is None:
-            flow = self.flows[level, origin] = Flow(above)
-            if len(self.flows) > MOST_FLOWS:
+            flow = self.flows[level, origin] = Flow(sender)
+            if len(self.flows) > MAX_FLOWS:
                 self.flows.popitem(last=False)
         self.flows.move_to_end((level, origin))
-        flow.above = above
+        flow.sender = sender
         if purges[-1][:2] >= flow.last:
             flow.purges = purges
         flow.branches = {
-            name: flow.branches.get(name) or Branch(total=count) for name, count in below.items()
+            name: flow.branches.get(name) or Branch(total=count) for name, count in member_counts.items()
         }
-        lacking = [name for name, branch in flow.branches.items() if branch.position < flow.last]
-        for name in lacking:
+        pending = [name for name, branch in flow.branches.items() if branch.position < flow.last]
+        for name in pending:
             flow.branches[name].tries += 1
-        return lacking
+        return pending
 
-    def heard(self, level: int, branch: str, heard: Heard) -> Flow | None:
-        """An acknowledgement from below; gives the flow that it belongs to."""
-        flow = self.flows.get((level, heard.origin))
-        known = flow.branches.get(branch) if flow is not None else None
-        if known is None:
+    def on_ack(self, level: int, branch: str, ack: SpreadAck) -> Flow | None:
+        """Takes an acknowledgement from below; the flow that it belongs to."""
+        flow = self.flows.get((level, ack.origin))
+        state = flow.branches.get(branch) if flow is not None else None
+        if state is None:
             return None
-        known.tries = 0
-        if heard.position >= known.position:
-            known.position = heard.position
-            known.total, known.done, known.missing = heard.total, heard.done, heard.missing
+        state.tries = 0
+        if ack.position >= state.position:
+            state.position = ack.position
+            state.total, state.done, state.missing = ack.total, ack.done, ack.missing
         return flow
 
-    def sums(self, level: int, origin: str, names: dict[str, str]) -> Heard | None:
-        """What this relay says upward: only what all below it have said. `names`: whom to name for a branch
-        that has said nothing."""
+    def summary(self, level: int, origin: str, names: dict[str, str]) -> SpreadAck | None:
+        """The acknowledgement to send upward: the position that all branches have acknowledged.
+
+        `names` gives the process to report for a branch that has not answered.
+        """
         flow = self.flows.get((level, origin))
         if flow is None:
             return None
@@ -112,4 +113,4 @@
             else:
                 done += min(branch.done, branch.total - 1)
                 missing += branch.missing or [names.get(key, key)]
-        return Heard(level, origin, position, total, done, missing[:MOST_NAMES])
+        return SpreadAck(level, origin, position, total, done, missing[:MAX_NAMES])
--- a/aspenrill/fleet/purges/tree.py
+++ b/aspenrill/fleet/purges/tree.py
@@ -1,8 +1,8 @@
-"""Who relays for a site and for a building: the live member there that rendezvous hashing puts first.
+"""Selection of relays: the live member of a site or building that rendezvous hashing ranks first.
 
-Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998): all that know the same
-members agree without a word, and a member that goes moves only what it did. Members that are suspected come
-last.
+Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998): processes that know the same
+members agree without communication, and a failed member only changes the regions that it relayed for.
+Suspected members are ranked last.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 @lru_cache(maxsize=1 << 17)
-def _weight(post: str, name: str) -> int:
-    return xxhash.xxh3_64_intdigest(f"{post}\0{name}".encode())
+def _weight(region: str, name: str) -> int:
+    return xxhash.xxh3_64_intdigest(f"{region}\0{name}".encode())
 
 
 class Tree:
-    """The members by place, as of the last `changed`; worked out when it is asked for."""
+    """The members by place; recomputed on use after `invalidate`."""
 
     def __init__(self, members: Callable[[], Mapping[str, Member]]) -> None:
         self._members = members
@@ -29,11 +29,11 @@
         self._sites: dict[str, dict[str, list[Member]]] = {}
         self._ranked: dict[tuple[str, str | None], list[str]] = {}
 
-    def changed(self) -> None:
-        """A member is new, gone, or has another state or place."""
+    def invalidate(self) -> None:
+        """The members, their states or places have changed."""
         self._stale = True
 
-    def _fresh(self) -> dict[str, dict[str, list[Member]]]:
+    def _current_sites(self) -> dict[str, dict[str, list[Member]]]:
         if self._stale:
             self._sites, self._ranked, self._stale = {}, {}, False
             for member in self._members().values():
@@ -43,30 +43,36 @@
         return self._sites
 
     def sites(self) -> list[str]:
-        """Those with a live member."""
-        return sorted(self._fresh())
+        """Sites with a live member."""
+        return sorted(self._current_sites())
 
     def buildings(self, site: str) -> list[str]:
-        """Those of a site with a live member."""
-        return sorted(self._fresh().get(site, ()))
+        """Buildings of a site with a live member."""
+        return sorted(self._current_sites().get(site, ()))
 
     def members(self, place: Place) -> list[Member]:
-        """Who lives in a building."""
-        return self._fresh().get(place.site, {}).get(place.building, [])
+        """Live members in a building."""
+        return self._current_sites().get(place.site, {}).get(place.building, [])
 
     def count(self, site: str) -> int:
-        """How many live at a site."""
-        return sum(map(len, self._fresh().get(site, {}).values()))
+        """Number of live members at a site."""
+        return sum(map(len, self._current_sites().get(site, {}).values()))
 
-    def relay(self, site: str, building: str | None = None, turn: int = 0) -> str | None:
-        """Who relays for a site, or for a building of it. `turn` counts tries without an answer: each second
-        one goes to the next of the first three. None where nobody lives there."""
-        sites = self._fresh()
+    def relay(self, site: str, building: str | None = None, tries: int = 0) -> str | None:
+        """The relay of a site, or of a building of it; None if there is no live member.
+
+        `tries` counts unanswered messages: every second one selects the next of the first three members.
+        """
+        sites = self._current_sites()
         ranked = self._ranked.get((site, building))
         if ranked is None:
-            here = sites.get(site, {})
-            live = here.get(building, []) if building is not None else [m for b in here.values() for m in b]
-            post = f"{site}\0{building}" if building is not None else site
-            best = sorted(live, key=lambda m: (m.state is not State.ALIVE, -_weight(post, m.name), m.name))
-            ranked = self._ranked[site, building] = [member.name for member in best[:3]]
-        return ranked[turn // 2 % len(ranked)] if ranked else None
+            buildings = sites.get(site, {})
+            live = (
+                buildings.get(building, [])
+                if building is not None
+                else [m for b in buildings.values() for m in b]
+            )
+            region = f"{site}\0{building}" if building is not None else site
+            order = sorted(live, key=lambda m: (m.state is not State.ALIVE, -_weight(region, m.name), m.name))
+            ranked = self._ranked[site, building] = [member.name for member in order[:3]]
+        return ranked[tries // 2 % len(ranked)] if ranked else None
--- a/aspenrill/fleet/purges/wire.py
+++ b/aspenrill/fleet/purges/wire.py
@@ -1,8 +1,7 @@
-"""The messages between the purges' parts of two processes: MessagePack of checked forms (msgspec).
+"""Messages between purge components, as validated MessagePack.
 
-`level` says which of its posts in the tree the receiver is meant in: 0 a member, 1 the relay of a building,
-2 of a site, 3 the coordinator or a purge's origin. A serial is the number of a purge that is agreed, without
-gaps.
+`level` is the level of the tree at which the receiver is addressed: 0 a member, 1 the relay of a building, 2
+the relay of a site, 3 the coordinator or a purge's origin. A serial numbers agreed purges, without gaps.
 """
 
 from __future__ import annotations
@@ -15,58 +14,62 @@
 from ..kept import scopes
 
 MEMBER, BUILDING, SITE, ROOT = range(4)  # levels
-MOST_BYTES = 760  # of a list of purges or scopes, encoded; with all else a body stays under 900
-MOST_TOLD = 24  # purges in one answer of the coordinator
-MOST_NAMES = 6  # of those that are missing
-MOST_NAME = 64
+MAX_LIST_BYTES = 760  # bytes of an encoded list of purges or scopes; keeps a body under 900 bytes
+MAX_STATUS_ITEMS = 24  # purges in one answer of the coordinator
+MAX_NAMES = 6  # reported names of members that are not clear
+MAX_NAME_LENGTH = 64  # characters of such a name
 
-Whole = Annotated[int, Meta(ge=0, le=1 << 53)]
+NonNegative = Annotated[int, Meta(ge=0, le=1 << 53)]
 Positive = Annotated[int, Meta(ge=1, le=1 << 53)]
 Level = Annotated[int, Meta(ge=0, le=3)]
 Count = Annotated[int, Meta(ge=0, le=1 << 20)]
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
-Names = Annotated[list[Name], Meta(max_length=MOST_NAMES)]
+Names = Annotated[list[Name], Meta(max_length=MAX_NAMES)]
 Scope = Annotated[str, Meta(pattern=scopes.PATTERN)]
-Position = tuple[Whole, Whole]  # incarnation of the origin and number: purges of one origin in their order
-Item = tuple[Whole, Positive, Scope]  # incarnation, number, what
+Position = tuple[NonNegative, NonNegative]  # incarnation and number: the order of one origin's purges
+Item = tuple[NonNegative, Positive, Scope]  # incarnation, number, scope
 Seconds = Annotated[float, Meta(ge=0, le=120)]
 
 
-class Ask(msgspec.Struct, array_like=True, tag="a", frozen=True):
-    """From one level to the next: how far it and all below it are clear; with `seq`, it asks for a lease."""
+class LeaseRequest(msgspec.Struct, array_like=True, tag="a", frozen=True):
+    """To the next level: how far the sender and all below it are clear; with `seq`, requests a lease."""
 
     level: Level
-    seq: Whole
-    seen: Whole
-    cleared: Whole
-    holders: Count
-    late: Count
+    seq: NonNegative
+    seen: NonNegative
+    cleared: NonNegative
+    members: Count
+    not_clear: Count
     names: Names
-    back: bool = False  # it holds no lease any more, nor does anybody below it
+    returned: bool = False  # it and all below it have no lease any more
 
 
 class Grant(msgspec.Struct, array_like=True, tag="g", frozen=True):
-    """The other way: the latest serial and the scopes of those up to it; with `seq`, a lease for `seconds`
-    from when that was asked."""
+    """To the level below: the latest serial and the scopes up to it.
+
+    With `seq`, also a lease for `seconds` from when the request was sent.
+    """
 
     level: Level
-    seq: Whole
+    seq: NonNegative
     seconds: Seconds
-    serial: Whole
+    serial: NonNegative
     recent: Annotated[list[Scope], Meta(max_length=1024)]
 
 
 class Spread(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """An origin's purges that are out, oldest first, on their way down."""
+    """An origin's incomplete purges, oldest first, on the way down the tree."""
 
     level: Level
     origin: Name
     purges: Annotated[list[Item], Meta(min_length=1, max_length=1024)]
 
 
-class Heard(msgspec.Struct, array_like=True, tag="h", frozen=True):
-    """Their acknowledgement, on its way up: all up to `position` are done below; of the last, `done` of
-    `total`."""
+class SpreadAck(msgspec.Struct, array_like=True, tag="h", frozen=True):
+    """Acknowledgement of purges on the way up: all up to `position` are applied below.
+
+    The last one is applied by `done` of `total` members.
+    """
 
     level: Level
     origin: Name
@@ -77,35 +80,34 @@
 
 
 class Want(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """An origin's purges, for the coordinator to have agreed."""
+    """An origin's purges, for which the coordinator is to obtain agreement."""
 
     purges: Annotated[list[Item], Meta(min_length=1, max_length=1024)]
 
 
 class Told(msgspec.Struct, array_like=True, tag="t", frozen=True):
-    """Back to the origin: incarnation and number, the serial that it was agreed under, whether it is
-    complete."""
+    """Status of purges for their origin: incarnation, number, agreed serial, whether complete."""
 
-    items: Annotated[list[tuple[Whole, Positive, Positive, bool]], Meta(max_length=1024)]
+    items: Annotated[list[tuple[NonNegative, Positive, Positive, bool]], Meta(max_length=1024)]
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """The body of an agreed record of kind `purge`; its key is the scope."""
+    """Body of a log record of kind `purge`, keyed by scope."""
 
     serial: Positive
 
 
 class Saved(msgspec.Struct, array_like=True, frozen=True):
-    """A purge on its origin's disk."""
+    """Stored form of a purge on its origin's disk."""
 
-    incarnation: Whole
+    incarnation: NonNegative
     number: Positive
     scope: Scope
-    why: str
+    reason: str
     tag: str
 
 
-Message = Ask | Grant | Spread | Heard | Want | Told
+Message = LeaseRequest | Grant | Spread | SpreadAck | Want | Told
 encode = msgspec.msgpack.Encoder().encode
 _messages = msgspec.msgpack.Decoder(Message)
 _records = msgspec.msgpack.Decoder(Record)
@@ -113,17 +115,17 @@
 
 
 def decode(body: bytes) -> Message | None:
-    """A message; None where the body is none."""
+    """Decodes a message; None if malformed."""
     return _decode(_messages, body)
 
 
 def record(body: bytes) -> Record | None:
-    """An agreed record; None where the body is none."""
+    """Decodes an agreed record; None if malformed."""
     return _decode(_records, body)
 
 
 def saved(body: bytes) -> Saved | None:
-    """A purge from disk; None where the body is none."""
+    """Decodes a stored purge; None if malformed."""
     return _decode(_saved, body)
 
 
@@ -135,5 +137,5 @@
 
 
 def size(item: Item | str) -> int:
-    """Bytes of a list's item, at most."""
+    """Upper bound of the encoded bytes of a list item."""
     return 3 + len(item.encode()) if isinstance(item, str) else 19 + size(item[2])
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -1,4 +1,4 @@
-"""Kept answers: what is kept, under what, for how long, and who waits for whose fetch."""
+"""Answer cache: what is cached, under which scopes, for how long, and requests that wait for a fetch."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 ROWS = Result("text", (b"1\t2\n",), rows=1)
 
 
-class Desk:
-    """An owner's side: requests by number, and what is told of loads."""
+class OwnerSide:
+    """The owner's side of the cache: creates requests and records load updates."""
 
     def __init__(self, joins: int = 2, **bounds) -> None:
-        self.store, self.told, self.count = Store(Bounds(**bounds)), [], 0
+        self.store, self.load_updates, self.count = Store(Bounds(**bounds)), [], 0
         self.store.lease_end = 100.0
         rules = {0: Rule("lookup", 5.0), 2: Rule("shop", 5.0, frozenset({1}))}
         policy = Policy(rules, frozenset({1}), joins=joins)
-        self.kept = Kept(self.store, policy, self.told.append)
+        self.kept = Kept(self.store, policy, self.load_updates.append)
 
     def call(self, text: bytes = QUERY, cls: int = 0, tenant: int = 0) -> Call:
         self.count += 1
@@ -41,92 +41,94 @@
         return call
 
 
-def test_an_answer_is_kept_for_some_seconds_after_its_query_was_sent():
-    desk = Desk()
-    desk.kept.ended(desk.fetch(0.0), ROWS, 2.0)
-    assert desk.kept.lookup(desk.call(), 4.9) is ROWS
-    assert desk.kept.lookup(desk.call(), 5.0) is None
+def test_answer_is_cached_for_its_seconds_after_the_query_was_sent():
+    owner = OwnerSide()
+    owner.kept.ended(owner.fetch(0.0), ROWS, 2.0)
+    assert owner.kept.lookup(owner.call(), 4.9) is ROWS
+    assert owner.kept.lookup(owner.call(), 5.0) is None
 
 
 @pytest.mark.parametrize(
     "other", [{"cls": 2}, {"tenant": 1}, {"text": QUERY + b" "}, {"cls": 2, "tenant": 1}]
 )
-def test_another_class_tenant_or_statement_is_another_answer(other):
-    desk = Desk()
-    desk.kept.ended(desk.fetch(0.0), ROWS, 0.1)
-    assert desk.kept.lookup(desk.call(**other), 0.2) is None
+def test_class_tenant_and_statement_are_part_of_the_key(other):
+    owner = OwnerSide()
+    owner.kept.ended(owner.fetch(0.0), ROWS, 0.1)
+    assert owner.kept.lookup(owner.call(**other), 0.2) is None
 
 
 @pytest.mark.parametrize("scope", ["all", "c:lookup", "g17"])
-def test_what_was_sent_before_a_purge_is_neither_served_nor_kept(scope):
-    desk = Desk()
-    desk.kept.ended(desk.fetch(0.0), ROWS, 0.1)
-    late = desk.fetch(0.2, QUERY + b"2")
-    desk.store.purge(scope)
-    desk.kept.ended(late, ROWS, 0.3)
-    assert desk.kept.lookup(desk.call(), 0.4) is None
-    assert desk.kept.lookup(desk.call(QUERY + b"2"), 0.4) is None
-    desk.store.purge("g18")
-    desk.kept.ended(fresh := desk.fetch(0.5, QUERY + b"3"), ROWS, 0.6)
-    desk.store.purge("c:other")
-    assert desk.kept.lookup(desk.call(fresh.statement), 0.7) is ROWS
-
-
-def test_nothing_is_served_without_a_lease_and_what_is_kept_comes_back_with_one():
-    desk = Desk()
-    desk.kept.ended(desk.fetch(0.0), ROWS, 0.1)
-    desk.store.lease_end = 1.0
-    assert desk.kept.lookup(desk.call(), 0.99) is ROWS
-    assert desk.kept.lookup(desk.call(), 1.0) is None
-    desk.store.lease_end = 2.0
-    assert desk.kept.lookup(desk.call(), 1.1) is ROWS
-
-
-def test_one_fetch_for_many_within_a_bound():
-    desk = Desk(joins=2)
-    first = desk.fetch(0.0)
-    waiting = [desk.call() for _ in range(2)]
-    assert [desk.kept.lookup(call, 0.5) for call in waiting] == [Joined(1.5)] * 2
-    assert desk.kept.lookup(desk.call(), 0.5) is None  # one too many
-    waiting[1].open = False  # its client has gone
-    freed = desk.kept.ended(first, ROWS, 1.0)
-    assert freed.served == [waiting[0]] and not freed.go_on and not desk.kept.joined
+def test_answers_sent_before_a_purge_are_neither_served_nor_cached(scope):
+    owner = OwnerSide()
+    owner.kept.ended(owner.fetch(0.0), ROWS, 0.1)
+    late = owner.fetch(0.2, QUERY + b"2")
+    owner.store.purge(scope)
+    owner.kept.ended(late, ROWS, 0.3)
+    assert owner.kept.lookup(owner.call(), 0.4) is None
+    assert owner.kept.lookup(owner.call(QUERY + b"2"), 0.4) is None
+    owner.store.purge("g18")
+    owner.kept.ended(fresh := owner.fetch(0.5, QUERY + b"3"), ROWS, 0.6)
+    owner.store.purge("c:other")
+    assert owner.kept.lookup(owner.call(fresh.statement), 0.7) is ROWS
+
+
+def test_cached_answers_are_served_only_under_a_lease():
+    owner = OwnerSide()
+    owner.kept.ended(owner.fetch(0.0), ROWS, 0.1)
+    owner.store.lease_end = 1.0
+    assert owner.kept.lookup(owner.call(), 0.99) is ROWS
+    assert owner.kept.lookup(owner.call(), 1.0) is None
+    owner.store.lease_end = 2.0
+    assert owner.kept.lookup(owner.call(), 1.1) is ROWS
+
+
+def test_requests_join_one_fetch_up_to_a_limit():
+    owner = OwnerSide(joins=2)
+    first = owner.fetch(0.0)
+    waiting = [owner.call() for _ in range(2)]
+    assert [owner.kept.lookup(call, 0.5) for call in waiting] == [Joined(1.5)] * 2
+    assert owner.kept.lookup(owner.call(), 0.5) is None  # above the limit of joined requests
+    waiting[1].open = False  # its client is gone
+    released = owner.kept.ended(first, ROWS, 1.0)
+    assert released.served == [waiting[0]] and not released.go_on and not owner.kept.joined
 
 
 @pytest.mark.parametrize("end", ["fails", "purged", "no lease", "closed", "tired"])
-def test_who_waits_goes_on_alone_where_the_fetch_gives_nothing(end):
-    desk = Desk()
-    first, second = desk.fetch(0.0), desk.call()
-    desk.kept.lookup(second, 0.1)
+def test_joined_requests_are_sent_if_the_fetch_gives_no_answer(end):
+    owner = OwnerSide()
+    first, second = owner.fetch(0.0), owner.call()
+    owner.kept.lookup(second, 0.1)
     if end == "purged":
-        desk.store.purge("g17")
-        assert desk.kept.lookup(desk.call(), 0.1) is None  # nobody joins what is outdated
+        owner.store.purge("g17")
+        assert owner.kept.lookup(owner.call(), 0.1) is None  # an outdated fetch cannot be joined
     if end == "no lease":
-        desk.store.lease_end = 0.2
+        owner.store.lease_end = 0.2
     if end == "closed":
-        assert desk.kept.closed(first, 0.3) == [second]
+        assert owner.kept.closed(first, 0.3) == [second]
     elif end == "tired":
-        assert desk.kept.tired(second) and not desk.kept.tired(second)
-        assert not desk.kept.ended(first, ROWS, 0.3).served
+        assert owner.kept.tired(second) and not owner.kept.tired(second)
+        assert not owner.kept.ended(first, ROWS, 0.3).served
     else:
-        freed = desk.kept.ended(first, None if end == "fails" else ROWS, 0.3)
-        assert freed.go_on == [second] and not freed.served
-
-
-def test_loads_purge_when_sent_and_when_ended_however_they_end():
-    desk = Desk()
-    desk.kept.ended(desk.fetch(0.0), ROWS, 0.1)
-    load = desk.call(b"insert into sales_17.a select * from sales_18.b", cls=1)
-    desk.kept.lookup(load, 0.2)
-    desk.kept.sent(load, 0.2)
-    assert desk.kept.lookup(desk.call(), 0.3) is None and desk.told == [LoadNews(("g17", "g18"), False)]
-    desk.kept.closed(load, 0.4)  # out of time: its end is not known
-    desk.kept.ended(load, None, 0.9)  # and is, later
-    assert desk.told[1:] == [LoadNews(("g17", "g18"), True)] * 2
-    other = desk.call(b"exec import_all", cls=1)
-    desk.kept.sent(other, 1.0)
-    desk.kept.sent(other, 1.1)  # tried again
-    assert desk.told[3:] == [LoadNews(("all",), e) for e in (False, False, True)]
+        released = owner.kept.ended(first, None if end == "fails" else ROWS, 0.3)
+        assert released.go_on == [second] and not released.served
+
+
+def test_loads_purge_when_sent_and_at_any_end():
+    owner = OwnerSide()
+    owner.kept.ended(owner.fetch(0.0), ROWS, 0.1)
+    load = owner.call(b"insert into sales_17.a select * from sales_18.b", cls=1)
+    owner.kept.lookup(load, 0.2)
+    owner.kept.sent(load, 0.2)
+    assert owner.kept.lookup(owner.call(), 0.3) is None and owner.load_updates == [
+        LoadNews(("g17", "g18"), False)
+    ]
+    owner.kept.closed(load, 0.4)  # timed out: its end is unknown
+    owner.kept.ended(load, None, 0.9)  # and becomes known later
+    assert owner.load_updates[1:] == [LoadNews(("g17", "g18"), True)] * 2
+    other = owner.call(b"exec import_all", cls=1)
+    owner.kept.sent(other, 1.0)
+    owner.kept.sent(other, 1.1)  # second attempt
+    assert owner.load_updates[3:] == [LoadNews(("all",), e) for e in (False, False, True)]
 
 
 @pytest.mark.parametrize(
@@ -151,7 +153,7 @@
         ("select a from a_1.t)", None),
     ],
 )
-def test_the_groups_that_a_query_reads(text, groups):
+def test_groups_read_by_a_query(text, groups):
     assert scopes.groups_read(text) == (frozenset(groups) if groups else None)
 
 
@@ -172,7 +174,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 12), st.integers(1, 400)), max_size=60))
-def test_bounds_hold_and_the_least_used_goes_first(puts):
+def test_bounds_hold_and_least_recently_used_is_evicted(puts):
     store = Store(Bounds(5, 1000, 300))
     store.lease_end = 1e9
     for key, size in puts:
@@ -202,7 +204,7 @@
     return read_kept(top, ("lookup", "load", "pay"), CLASSES, ("shop",)), faults
 
 
-def test_the_policy_is_off_unless_it_is_switched_on_and_names_each_fault():
+def test_policy_is_off_by_default_and_names_each_fault():
     text = '[[kept.class]]\nname = "lookup"\nseconds = 3\ntenants = ["shop"]\n'
     assert read(text)[0].rules == {} and read("")[0].rules == {}
     policy, faults = read("[kept]\nenabled = true\n" + text)
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -1,4 +1,4 @@
-"""Purges in their parts: records on disk, messages, the tree, operators' files."""
+"""Purges: records on disk, messages, leases, the tree, operators' files."""
 
 from __future__ import annotations
 
@@ -23,13 +23,12 @@
 from aspenrill.fleet.kept.store import Store
 from aspenrill.fleet.purges import wire
 from aspenrill.fleet.purges.folder import Folder, write_state
-from aspenrill.fleet.purges.leases import Post as LeasePost
-from aspenrill.fleet.purges.leases import longest
+from aspenrill.fleet.purges.leases import LeaseNode, longest
 from aspenrill.fleet.purges.orders import parse
 from aspenrill.fleet.purges.origin import Accepted, Complete, Origin
 from aspenrill.fleet.purges.part import Purges
 from aspenrill.fleet.purges.report import line
-from aspenrill.fleet.purges.root import Root
+from aspenrill.fleet.purges.root import Coordinator
 from aspenrill.fleet.purges.tree import Tree
 from standins.purging import build, purge
 
@@ -37,7 +36,7 @@
 
 
 class Alone:
-    """A view of one process, which coordinates."""
+    """View and authority of a single process, which coordinates."""
 
     name, incarnation, place = "a", 5, Place("s", "b")
 
@@ -63,7 +62,7 @@
     return part, view, part.on_start(0.0, view, dict(stored))
 
 
-def test_a_purge_is_on_disk_first_and_off_it_when_complete():
+def test_purge_is_stored_first_and_removed_when_complete():
     part, view, _ = alone()
     effects = part.purge(1.0, "g17", "operator", "tag")
     assert isinstance(effects[0], Saves) and Inform(Accepted("tag")) in effects
@@ -75,7 +74,7 @@
     assert found["complete"][0]["complete_s"] == 1.0 and line(found) == "purges: none open, 1 complete"
 
 
-def test_a_restart_goes_on_and_purges_what_open_loads_may_have_written():
+def test_restart_resumes_purges_and_purges_scopes_of_open_loads():
     saved = wire.encode(wire.Saved(3, 7, "g1", "operator", "t"))
     part, _, effects = alone({"purge/3/7": saved, "load/g9": b"1", "purge/3/8": saved[:5]})
     scopes = [purge.item for purge in part.origin.out.values()]
@@ -84,7 +83,7 @@
     assert Saves("load/g9", None) in effects
 
 
-def test_a_full_disk_stops_no_purge_and_is_tried_again():
+def test_full_disk_stops_no_purge_and_store_is_retried():
     part, _, _ = alone()
     part.purge(1.0, "g1", "operator", "t")
     assert "fleet-disk" in part.on_disk(1.0, "purge/5/1")[0].text
@@ -94,7 +93,7 @@
     assert Inform(Accepted("t")) in effects
 
 
-def test_too_many_open_purges_become_one_of_everything():
+def test_too_many_open_purges_are_replaced_by_one_of_everything():
     origin = Origin("a", 1)
     for at in range(100):
         origin.accept(0.0, f"g{at}", "load")
@@ -102,7 +101,7 @@
     assert any(purge.item[2] == "all" for purge in origin.out.values()) and len(origin.out) < 40
 
 
-def test_serials_without_a_gap_purge_their_scope_and_others_everything():
+def test_consecutive_serials_purge_their_scope_and_gaps_purge_everything():
     part, _, _ = alone()
     record = Agreed(1, 1, "purge", "g1", wire.encode(wire.Record(1)))
     part.on_agreed(0.0, record)
@@ -128,7 +127,7 @@
         max_size=9,
     ).map(wire.encode)
 )
-def test_whatever_a_message_holds_nothing_raises(body):
+def test_malformed_messages_raise_nothing(body):
     part, _, _ = alone()
     part.on_message(1.0, "z", 1, body)
     part.on_agreed(1.0, Agreed(1, 1, "purge", "g1", body))
@@ -138,18 +137,18 @@
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(
-    st.builds(wire.Ask, LEVEL, *[FEW] * 5, st.just([]), st.booleans())
+    st.builds(wire.LeaseRequest, LEVEL, *[FEW] * 5, st.just([]), st.booleans())
     | st.builds(wire.Grant, LEVEL, FEW, st.floats(0, 9), FEW, st.just(["g1"]))
     | st.builds(wire.Spread, LEVEL, st.just("z"), st.just([(1, 2, "g3"), (1, 1, "all")]))
-    | st.builds(wire.Heard, LEVEL, st.just("a"), st.just((9, 9)), FEW, FEW, st.just([]))
+    | st.builds(wire.SpreadAck, LEVEL, st.just("a"), st.just((9, 9)), FEW, FEW, st.just([]))
 )
-def test_well_formed_messages_of_strangers_raise_nothing_and_give_no_lease(message):
+def test_messages_of_unknown_senders_raise_nothing_and_give_no_lease(message):
     part, _, _ = alone()
     part.on_message(1.0, "stranger", 1, wire.encode(message))
     assert not part.store.serves(1.0)
 
 
-def test_relays_are_live_and_agreed_on_and_a_next_one_is_tried():
+def test_relays_are_live_consistent_and_have_successors():
     members = {n: Member(n, 1, "", 1, Place("s", f"b{at % 2}")) for at, n in enumerate("abcdefgh")}
     trees = [Tree(lambda: members), Tree(lambda: dict(reversed(members.items())))]
     for building in (None, "b0", "b1"):
@@ -158,39 +157,39 @@
     assert trees[0].relay("s", None, 2) != first and trees[0].relay("t") is None
     for state in (State.SUSPECT, State.DEAD):
         members[first] = Member(first, 1, "", 1, members[first].place, state)
-        trees[0].changed()
+        trees[0].invalidate()
         assert trees[0].relay("s") != first
 
 
-def test_a_serial_used_twice_counts_for_nobody_and_what_is_left_out_is_proposed_again():
-    root = Root()
-    root.office(1, 6)
-    root.want("a", [(1, 1, "g2")])
-    assert root.proposals(0.0) == [("g2", 7)]
-    root.on_agreed("g1", 7)  # of a former office: all have seen 7 as g1 now
-    assert root.on_agreed("g2", 7) == {} and root.cleared(7) == {}
-    root.want("a", [(1, 1, "g2")])
-    assert root.proposals(1.0) == [("g2", 8)] and root.proposals(2.0) == []
-    assert root.proposals(5.0) == [("g2", 9)]
-    root.on_agreed("g2", 9)
-    assert root.cleared(8) == {} and root.cleared(9)["a"].items == [(1, 1, 9, True)]
+def test_duplicate_serial_resets_and_unagreed_records_are_proposed_again():
+    coordinator = Coordinator()
+    coordinator.set_epoch(1, 6)
+    coordinator.on_request("a", [(1, 1, "g2")])
+    assert coordinator.proposals(0.0) == [("g2", 7)]
+    coordinator.on_agreed("g1", 7)  # of an earlier coordinator: serial 7 is g1 at all processes now
+    assert coordinator.on_agreed("g2", 7) == {} and coordinator.on_cleared(7) == {}
+    coordinator.on_request("a", [(1, 1, "g2")])
+    assert coordinator.proposals(1.0) == [("g2", 8)] and coordinator.proposals(2.0) == []
+    assert coordinator.proposals(5.0) == [("g2", 9)]
+    coordinator.on_agreed("g2", 9)
+    assert coordinator.on_cleared(8) == {} and coordinator.on_cleared(9)["a"].items == [(1, 1, 9, True)]
 
 
-# ---- leases of one post, against what its holders may do ------------------------------------------------
+# ---- leases of one node, against all that its holders may do --------------------------------------------
 
 
 class Leases(RuleBasedStateMachine):
-    """A post above with a lease of its own, holders below whose clocks differ by the drift allowed."""
+    """A node with a lease of its own, and holders whose clocks differ by the allowed drift."""
 
-    post_of = LeasePost
+    node_class = LeaseNode
 
     def __init__(self) -> None:
         super().__init__()
         self.now, self.seen = 0.0, 0
-        self.post = self.post_of(1)
-        self.holders = [(LeasePost(0), rate) for rate in (0.995, 1.0, 1.005)]
-        self.has = [0, 0, 0]  # the serial that each has applied
-        self.grants: list[tuple[int, int, float, int]] = []  # on their way
+        self.node = self.node_class(1)
+        self.holders = [(LeaseNode(0), rate) for rate in (0.995, 1.0, 1.005)]
+        self.has = [0, 0, 0]  # the serial that each holder has applied
+        self.grants: list[tuple[int, int, float, int]] = []  # in transit
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 4.0]))
     def time(self, seconds):
@@ -198,13 +197,13 @@
 
     @rule()
     def renewed(self):
-        self.post.end = self.now + 5.0
+        self.node.lease_end = self.now + 5.0
 
     @rule(who=st.integers(0, 2))
     def asks(self, who):
-        post, rate = self.holders[who]
-        seq = post.ask(self.now * rate, "above")
-        seconds = self.post.grant(self.now, (f"{who}", 1), self.seen)
+        node, rate = self.holders[who]
+        seq = node.start_request(self.now * rate, "above")
+        seconds = self.node.grant(self.now, (f"{who}", 1), self.seen)
         if seconds:
             self.grants.append((who, seq, seconds, self.seen))
 
@@ -213,24 +212,24 @@
     def comes(self, data):
         who, seq, seconds, serial = self.grants.pop(data.draw(st.integers(0, len(self.grants) - 1)))
         self.has[who] = max(self.has[who], serial)
-        post, rate = self.holders[who]
-        post.granted(self.now * rate, "above", seq, seconds)
+        node, rate = self.holders[who]
+        node.on_grant(self.now * rate, "above", seq, seconds)
 
     @rule()
     def purged(self):
         self.seen += 1
-        self.post.advanced()
+        self.node.mark_all_lagging()
 
     @rule(who=st.integers(0, 2))
     def applied(self, who):
         self.has[who] = self.seen
-        self.post.acknowledged((f"{who}", 1), self.seen, self.seen, 1, 0, [])
+        self.node.on_acknowledged((f"{who}", 1), self.seen, self.seen, 1, 0, [])
 
     @invariant()
     def clear_means_clear(self):
-        cleared = self.post.clear(self.now, self.seen)
-        for (post, rate), has in zip(self.holders, self.has, strict=True):
-            assert self.now * rate >= post.end or has >= cleared, "served after it was called clear"
+        cleared = self.node.update_clear(self.now, self.seen)
+        for (node, rate), has in zip(self.holders, self.has, strict=True):
+            assert self.now * rate >= node.lease_end or has >= cleared, "served after it was called clear"
 
 
 def run_machine(machine) -> None:
@@ -244,31 +243,31 @@
             database=None,
             phases=(Phase.generate,),
         ),
-    )  # a failure need not be made small
+    )  # without shrinking
 
 
-def test_a_post_is_clear_only_when_all_below_are():
+def test_node_is_clear_only_if_all_below_are():
     run_machine(Leases)
 
 
-def test_a_post_that_forgets_early_leases_is_found():
-    class Forgetful(LeasePost):
-        def grant(self, now, who, serial, root=None):
-            seconds = super().grant(now, who, serial, root)
-            self.below[who].grants.clear() if seconds else None
-            self.below[who].grants.append((self.end, serial)) if seconds else None
+def test_node_that_forgets_early_leases_is_detected():
+    class Forgetful(LeaseNode):
+        def grant(self, now, who, serial, root_lease=None):
+            seconds = super().grant(now, who, serial, root_lease)
+            self.holders[who].grants.clear() if seconds else None
+            self.holders[who].grants.append((self.lease_end, serial)) if seconds else None
             return seconds
 
     with pytest.raises(AssertionError, match="served after"):
-        run_machine(type("M", (Leases,), {"post_of": Forgetful}))
+        run_machine(type("M", (Leases,), {"node_class": Forgetful}))
 
 
-def test_a_coordinator_keeps_a_lease_in_its_books_past_any_drift():
-    post = LeasePost(3)
-    assert post.grant(0.0, ("a", 1), 0, root=6.0) == 6.0
-    post.advanced()
-    assert post.clear(longest(6.0) - 0.01, 1) == 0 and longest(6.0) > 6.06
-    assert post.clear(longest(6.0), 1) == 1
+def test_coordinator_records_a_lease_past_any_drift():
+    node = LeaseNode(3)
+    assert node.grant(0.0, ("a", 1), 0, root_lease=6.0) == 6.0
+    node.mark_all_lagging()
+    assert node.update_clear(longest(6.0) - 0.01, 1) == 0 and longest(6.0) > 6.06
+    assert node.update_clear(longest(6.0), 1) == 1
 
 
 # ---- faults at each step, one at a time ------------------------------------------------------------------
@@ -276,19 +275,19 @@
 
 @pytest.mark.parametrize("who", ["relay", "origin", "coordinator"])
 @pytest.mark.parametrize("steps", range(4))
-def test_a_kill_at_any_step_delays_a_purge_and_loses_none(who, steps):
+def test_kill_at_any_step_loses_no_purge(who, steps):
     world, truth = build(steps, 7, sites=2, buildings=1, rate=0.5, loads=0.0)
     world.run(8.0)
     root = next(p.name for p in world.running if p.part("authority").settled(0.0))
     origin = next(n for n in world.names if n != root)
     relay = world.procs[root].part("purges").tree.relay("s1")
     victim = {"relay": relay, "origin": origin, "coordinator": root}[who]
-    world.trip(victim, steps if who != "origin" else steps + 1, "crash")  # its first effect is the record
+    world.trip(victim, steps if who != "origin" else steps + 1, "crash")  # its first effect stores the record
     purge(world, origin, "g1")
     world.run(1.0)
-    ident = next(iter(truth.floors))
+    purge_id = next(iter(truth.floors))
     world.start(victim)
-    assert world.until(lambda: ident in truth.complete, 25.0)
+    assert world.until(lambda: purge_id in truth.complete, 25.0)
 
 
 def test_without_a_majority_a_purge_is_acknowledged_and_not_complete():
@@ -320,12 +319,12 @@
         ('what = "group"\ngroup = "1"', "group: the number"),
     ],
 )
-def test_a_bad_file_is_named_by_its_field(text, wrong):
+def test_bad_file_is_reported_by_field(text, wrong):
     with pytest.raises(PurgeFileTrouble, match=wrong):
         parse("f.toml", text.encode(), ("lookup",))
 
 
-def test_files_are_done_once_and_a_crash_before_the_renaming_repeats_the_same(tmp_path):
+def test_files_are_processed_once_also_after_a_crash_before_renaming(tmp_path):
     lines: list[str] = []
     (tmp_path / "a.toml").write_text('what = "group"\ngroup = 1041\nwhy = "prices"')
     (tmp_path / "b.toml").write_text('what = "nothing"')
@@ -339,7 +338,7 @@
     assert Folder(str(tmp_path / "none"), lines.append).read(()) == [] and "fleet-purge-file" in lines[-1]
 
 
-def test_the_state_file_is_whole_or_as_before(tmp_path):
+def test_state_file_is_written_atomically(tmp_path):
     path = tmp_path / "state.json"
     write_state(str(path), {"a": 1})
     with pytest.raises(TypeError):
@@ -350,7 +349,8 @@
 
 
 def test_messages_of_large_fleets_fit_a_datagram():
-    world, _ = build(1, 40, sites=1, buildings=1, loads=0.0, rate=0.1)  # the world checks the size of each
+    # the world checks the size of each message
+    world, _ = build(1, 40, sites=1, buildings=1, loads=0.0, rate=0.1)
     world.run(6.0)
     for at in range(30):
         purge(world, "m0003", f"g{at}")
--- a/tests/test_purges_fleet.py
+++ b/tests/test_purges_fleet.py
@@ -1,4 +1,4 @@
-"""Purges over whole fleets on a virtual clock: no process serves what is older than a complete purge."""
+"""Purges in simulated fleets: no process serves answers older than a complete purge."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from aspenrill.fleet.kept.front import Freed, Kept
+from aspenrill.fleet.kept.front import Kept, Released
 from aspenrill.fleet.kept.store import Store
 from aspenrill.fleet.purges import leases, wire
 from aspenrill.fleet.purges.part import Purges
@@ -17,8 +17,8 @@
 from standins.purging import Truth, build, purge
 
 
-def away(rng: random.Random, names: list[str], seconds: float) -> list[tuple]:
-    """One at a time is paused, and cut off meanwhile: it wakes to a few messages from before."""
+def pauses(rng: random.Random, names: list[str], seconds: float) -> list[tuple]:
+    """Pauses one process at a time and cuts it off meanwhile: it resumes with a few old messages."""
     script, at = [], 6.0
     while at < 0.7 * seconds:
         name, long = rng.choice(names), rng.uniform(2.0, 7.0)
@@ -32,7 +32,7 @@
 
 
 def play(seed: int, seconds: float = 24.0, script=None, **more) -> tuple[Cluster, Truth]:
-    """A fleet under random faults, then in calm until nothing is open; raises Broken where a promise is."""
+    """Random faults, then none until no purge is open; raises Broken if an invariant is violated."""
     rng = random.Random(seed)
     size = more.pop("size", None) or rng.choice((3, 5, 5, 7, 9))
     world, truth = build(seed, size, sites=rng.choice((1, 2, 3)), garbage=0.02, loads=0.03, **more)
@@ -54,13 +54,14 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_older_answer_under_random_faults(seed):
+def test_no_outdated_answer_under_random_faults(seed):
     world, truth = play(seed)
     assert truth.complete and truth.served > 10 and truth.looks > 20
 
 
 def test_two_hundred_processes_in_a_partition(monkeypatch):
-    monkeypatch.setattr(cluster, "LOOK", 2.5)  # the oracle looks at each from each: its cost, not a part's
+    # the simulated membership checks all pairs, which dominates the cost
+    monkeypatch.setattr(cluster, "LOOK", 2.5)
     world, truth = build(11, 200, sites=4, buildings=3, rate=0.1, loads=0.0002)
     site = [name for name, proc in world.procs.items() if proc.place.site == "s3"]
     world.run(7.0)
@@ -75,60 +76,60 @@
     assert world.until(lambda: not still_open(world), 15.0)
 
 
-# ---- each checker can fail -----------------------------------------------------------------------------
+# ---- planted defects -----------------------------------------------------------------------------------
 
 
-class KeepsWhatAPurgeHasPassed(Store):
+class CachesAfterPurge(Store):
     def put(self, now, key, result, size, stamp, until):
         return super().put(now, key, result, size, self.stamp(stamp.scopes[1:]), until)
 
 
-class ServesWithoutALease(Store):
+class ServesWithoutLease(Store):
     def serves(self, now):
         return self.lease_end > 0
 
 
-class CountsFromReceipt(leases.Post):
-    def granted(self, now, sender, seq, seconds):
-        if self.asked.get(seq, (0, ""))[1] == sender:
-            self.asked[seq] = now, sender
-        return super().granted(now, sender, seq, seconds)
+class CountsFromReceipt(leases.LeaseNode):
+    def on_grant(self, now, sender, seq, seconds):
+        if self.pending_requests.get(seq, (0, ""))[1] == sender:
+            self.pending_requests[seq] = now, sender
+        return super().on_grant(now, sender, seq, seconds)
 
 
-class ClearsAtOnce(leases.Post):
-    def clear(self, now, seen):
+class ClearsImmediately(leases.LeaseNode):
+    def update_clear(self, now, seen):
         self.cleared = seen
         return seen
 
 
 class LeaseFromReceipt(Purges):
-    def make_posts(self):
+    def make_lease_nodes(self):
         return [CountsFromReceipt(level) for level in range(4)]
 
 
 class CompleteBeforeLeasesEnd(Purges):
-    def make_posts(self):
-        return [*super().make_posts()[:3], ClearsAtOnce(3)]
+    def make_lease_nodes(self):
+        return [*super().make_lease_nodes()[:3], ClearsImmediately(3)]
 
-    def _settle(self, now):
-        self.posts[3].behind.clear()
-        super()._settle(now)
+    def _propagate(self, now):
+        self.lease_nodes[3].lagging.clear()
+        super()._propagate(now)
 
 
 class RelaysAcknowledgeFirst(Purges):
-    def make_posts(self):
-        return [leases.Post(0), ClearsAtOnce(1), ClearsAtOnce(2), leases.Post(3)]
+    def make_lease_nodes(self):
+        return [leases.LeaseNode(0), ClearsImmediately(1), ClearsImmediately(2), leases.LeaseNode(3)]
 
-    def _settle(self, now):
-        for post in self.posts[1:3]:
-            post.behind.clear()
-        super()._settle(now)
+    def _propagate(self, now):
+        for node in self.lease_nodes[1:3]:
+            node.lagging.clear()
+        super()._propagate(now)
 
 
 class LeaseBeforeVersions(Purges):
     def _on_grant(self, now, sender, grant):
         newer = grant.serial, grant.recent
-        if grant.seq:  # what it lacks comes with the next one that tells of it
+        if grant.seq:  # missing purges come with the next message
             grant = wire.Grant(grant.level, grant.seq, grant.seconds, 0, [])
         super()._on_grant(now, sender, grant)
         if not grant.seq:
@@ -144,14 +145,14 @@
         self.recent = deque(maxlen=2)
 
 
-class OverlooksGaps(FewRecent):
+class IgnoresGaps(FewRecent):
     def advance(self, now, serial, scopes):
         missing = serial - self.seen
         super().advance(now, serial, ["g1023"] * (missing - len(scopes)) + scopes)
 
 
 class LoadsOnlyWhenSent(Kept):
-    def ended(self, call, result, now) -> Freed:
+    def ended(self, call, result, now) -> Released:
         self.policy, policy = type(self.policy)(self.policy.rules), self.policy
         try:
             return super().ended(call, result, now)
@@ -160,21 +161,21 @@
 
 
 SLOW = Link(delay_ms=150, jitter_ms=50)
-DEFECTS = {  # with the faults that bring them to light, and the first seed to try
-    "kept across a version change": ({"store": KeepsWhatAPurgeHasPassed}, None, 0),
-    "no lease at use": ({"store": ServesWithoutALease}, away, 0),
-    "lease from receipt": ({"part": LeaseFromReceipt, "link": SLOW}, away, 11),
-    "complete before leases end": ({"part": CompleteBeforeLeasesEnd}, away, 3),
+DEFECTS = {  # with the faults that expose them, and the first seed to try
+    "kept across a version change": ({"store": CachesAfterPurge}, None, 0),
+    "no lease at use": ({"store": ServesWithoutLease}, pauses, 0),
+    "lease from receipt": ({"part": LeaseFromReceipt, "link": SLOW}, pauses, 11),
+    "complete before leases end": ({"part": CompleteBeforeLeasesEnd}, pauses, 3),
     "relays acknowledge first": ({"part": RelaysAcknowledgeFirst}, None, 6),
-    "lease before versions": ({"part": LeaseBeforeVersions}, away, 1),
-    "gaps overlooked": ({"part": OverlooksGaps}, away, 0),
-    "loads only when sent": ({"front": LoadsOnlyWhenSent}, away, 0),
+    "lease before versions": ({"part": LeaseBeforeVersions}, pauses, 1),
+    "gaps overlooked": ({"part": IgnoresGaps}, pauses, 0),
+    "loads only when sent": ({"front": LoadsOnlyWhenSent}, pauses, 0),
     "a predecessor's leases not waited for": ({"waits": 0.0}, None, 4),
 }
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_planted_defect_is_found(defect):
+def test_planted_defects_are_detected(defect):
     more, script, first = DEFECTS[defect]
     for seed in range(first, first + 20):
         try:
