--- a/aspenrill/fleet/purges/origin.py
+++ b/aspenrill/fleet/purges/origin.py
@@ -68,7 +68,7 @@
     everywhere: float | None = None
     serial: int = 0
     agreed_at: float | None = None
-    completed_at: float | None = None
+    complete: float | None = None
     durable: bool = True
 
     @property
@@ -246,7 +246,7 @@
             if purge.agreed_at is None:
                 purge.agreed_at, purge.serial = now, serial
             if complete:
-                purge.completed_at = now
+                purge.complete = now
                 del self.out[purge.position]
                 self.completed.append(purge)
                 effects += [
--- a/aspenrill/fleet/purges/report.py
+++ b/aspenrill/fleet/purges/report.py
@@ -50,7 +50,7 @@
     def since(when: float | None) -> float | None:
         return round(when - purge.began, 3) if when is not None else None
 
-    incomplete = purge.completed_at is None
+    incomplete = purge.complete is None
     waits = {}
     for name, site in list(part.origin.sites.items())[:MAX_SITES] if incomplete else ():
         if name not in purge.acknowledged:
@@ -63,7 +63,7 @@
         "on_disk": purge.durable,
         "agreed_s": since(purge.agreed_at),
         "acknowledged_s": since(purge.everywhere),
-        "complete_s": since(purge.completed_at),
+        "complete_s": since(purge.complete),
         "sites": {name: since(when) for name, when in list(purge.acknowledged.items())[:MAX_SITES]},
         "waits": waits,
     }
@@ -71,7 +71,7 @@
 
 def state(purge: Purge) -> str:
     """The latest state that a purge has reached."""
-    if purge.completed_at is not None:
+    if purge.complete is not None:
         return "complete"
     if purge.agreed_at is not None:
         return "agreed, not complete"
