--- a/aspenrill/fleet/authority/part.py
+++ b/aspenrill/fleet/authority/part.py
@@ -1,7 +1,7 @@
 """The component named "authority": election, log and distribution, as `interface.Authority`.
 
 Its facts are for the driver: each `Agreed` goes to the components of the same process whose `kinds` list it.
-Other components may call `propose` and `fresh` during their own calls: the resulting messages and records go
+Other components may call `propose` and `accept_epoch` during their own calls: the resulting messages and records go
 out with this component's next call, within `period` seconds.
 
 Every call ends in `_finish_call`. Newly agreed records are reported first, then stored, then acknowledged.
@@ -101,7 +101,7 @@
         """The highest epoch seen."""
         return self.follow.highest_epoch
 
-    def fresh(self, epoch: int) -> bool:
+    def accept_epoch(self, epoch: int) -> bool:
         """Whether an order of this epoch is valid. If so, orders of lower epochs are refused from now on."""
         if epoch < self.follow.highest_epoch:
             return False
--- a/aspenrill/fleet/groups/splits.py
+++ b/aspenrill/fleet/groups/splits.py
@@ -240,7 +240,7 @@
         for split in sorted(self.splits.values(), key=lambda s: (s.at, s.id)):
             if ("split", split.id) not in self.pending and ("map", str(split.group)) not in self.pending:
                 effects += self._next(now, hour, split, split.id in cancelled, drop_reason, all_route_by)
-        return effects + self._forget(now)
+        return effects + self._delete_finished(now)
 
     def _next(
         self,
@@ -305,7 +305,7 @@
     def _step(self, now: float, split: Split, step: Step, reason: str = "") -> list[Effect]:
         return self.propose(now, msgspec.structs.replace(split, step=step, reason=reason))
 
-    def _forget(self, now: float) -> list[Effect]:
+    def _delete_finished(self, now: float) -> list[Effect]:
         """Deletes records of splits finished long ago, and the oldest finished ones if there are too many."""
         finished = sorted(
             (s for s in self.splits.values() if s.step.over), key=lambda s: self.step_since[s.id]
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -182,5 +182,5 @@
     w.run(5)
     part: AuthorityPart = w.procs["p0"].parts[0]
     epoch = part.epoch()
-    assert epoch and part.fresh(epoch) and part.fresh(epoch + 2)
-    assert not part.fresh(epoch + 1) and part.epoch() == epoch + 2
+    assert epoch and part.accept_epoch(epoch) and part.accept_epoch(epoch + 2)
+    assert not part.accept_epoch(epoch + 1) and part.epoch() == epoch + 2
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -32,7 +32,8 @@
 from aspenrill.fleet.purges.tree import Tree
 from standins.purging import build, purge
 
-LEVEL, FEW = st.integers(0, 3), st.integers(0, 9)
+LEVEL = st.integers(0, 3)
+FEW = st.integers(0, 9)
 
 
 class Alone:
