--- a/aspenrill/fleet/authority/part.py
+++ b/aspenrill/fleet/authority/part.py
@@ -1,8 +1,8 @@
 """The component named "authority": election, log and distribution, as `interface.Authority`.
 
 Its facts are for the driver: each `Agreed` goes to the components of the same process whose `kinds` list it.
-Other components may call `propose` and `accept_epoch` during their own calls: the resulting messages and records go
-out with this component's next call, within `period` seconds.
+Other components may call `propose` and `accept_epoch` during their own calls: the resulting messages and
+records go out with this component's next call, within `period` seconds.
 
 Every call ends in `_finish_call`. Newly agreed records are reported first, then stored, then acknowledged.
 Reporting needs no local disk, since the records are on those of a majority, and a failed disk must not keep a
