--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded days on real front ends over loopback, with faults, judged by the records of clients and engines."""
+"""Soak test: real front ends on loopback with seeded faults, checked by client and engine records."""
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -1,8 +1,8 @@
-"""Plays seeds, several at a time, and reports each by a line; what breaks a rule with the lines that name it.
+"""Runs soak seeds, several in parallel, and prints a line for each, with its violations and their log lines.
 
     python -m standins.soak 1-50 [--plan links,crowd] [--jobs 3] [--keep FOLDER]
 
-Ends with 1 where a rule was broken. `--plan`: these kinds of trouble alone.
+Exits with status 1 if any rule was violated. `--plan` limits the run to these kinds of fault.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 from collections import Counter, deque
 from pathlib import Path
 
-from .day import Day
-from .judge import Judge, Verdict
-from .plan import DayPlan, Kind, draw
-from .records import DayRecords
+from .checker import Checker, Violation
+from .plan import FaultKind, RunPlan, draw_plan
+from .records import RunRecords
+from .soakrun import SoakRun
 
-MOST_SHOWN, MOST_LINES = 8, 8  # verdicts of a day, and log lines of each
-SEED_WITHIN = 120.0  # seconds
+MAX_VIOLATIONS_SHOWN = 8  # of a seed
+MAX_LOG_LINES = 8  # of a violation
+SEED_TIMEOUT = 120.0  # seconds
 
 
-def seeds_of(text: str) -> list[int]:
-    """From `3`, `1-50` or `1,4,9-12`."""
+def parse_seeds(text: str) -> list[int]:
+    """Parse seeds such as `3`, `1-50` or `1,4,9-12`."""
     found: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -33,49 +34,49 @@
     return found
 
 
-def summary(plan: DayPlan, records: DayRecords, verdicts: list[Verdict]) -> str:
-    """One line for a day."""
+def summary(plan: RunPlan, records: RunRecords, violations: list[Violation]) -> str:
+    """Return the line that sums up one seed."""
     ends = Counter(request.reply.value if request.reply else "unanswered" for request in records.requests)
     kinds = ",".join(sorted(kind.value for kind in plan.kinds)) or "none"
     counts = " ".join(f"{name}={count}" for name, count in sorted(ends.items()))
-    broken = Counter(verdict.rule for verdict in verdicts)
+    broken = Counter(violation.rule for violation in violations)
     result = " ".join(f"{rule}:{count}" for rule, count in sorted(broken.items())) or "ok"
-    return f"seed {plan.seed} [{kinds}] {counts} stalls={len(records.stalls)} => {result}"
+    return f"seed {plan.seed} [{kinds}] {counts} stalls={len(records.driver_stalls)} => {result}"
 
 
-def told(verdict: Verdict, logs: dict[str, str]) -> list[str]:
-    """A verdict and the log lines that name its subject."""
-    lines = [f"  {verdict.rule} {verdict.front} {verdict.subject}: {verdict.detail}"]
-    log = logs.get(verdict.front, "").splitlines()
-    found = [line for line in log if any(word in line for word in verdict.search)]
-    return lines + [f"    {line}" for line in found[:MOST_LINES]]
+def violation_lines(violation: Violation, logs: dict[str, str]) -> list[str]:
+    """Return a violation's line and the front end's log lines that name its subject."""
+    lines = [f"  {violation.rule} {violation.front} {violation.subject}: {violation.detail}"]
+    log = logs.get(violation.front, "").splitlines()
+    found = [line for line in log if any(word in line for word in violation.log_words)]
+    return lines + [f"    {line}" for line in found[:MAX_LOG_LINES]]
 
 
-def play_seed(seed: int, kinds: list[Kind], keep: Path | None) -> int:
-    """Play one day here; 1 where a rule was broken."""
-    plan = draw(seed, kinds)
-    with tempfile.TemporaryDirectory() as place:
-        folder = Path(place)
+def run_seed(seed: int, kinds: list[FaultKind], keep: Path | None) -> int:
+    """Run one seed in this process; 1 if a rule was violated."""
+    plan = draw_plan(seed, kinds)
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        folder = Path(temporary_folder)
         if keep is not None:
             folder = keep / f"seed-{seed}"
             folder.mkdir(parents=True, exist_ok=True)
-        records = Day(plan, folder).play()
-    verdicts = Judge(plan, records).verdicts()
-    print(summary(plan, records, verdicts))
-    for verdict in verdicts[:MOST_SHOWN]:
-        print("\n".join(told(verdict, records.logs)))
-    return int(bool(verdicts))
+        records = SoakRun(plan, folder).play()
+    violations = Checker(plan, records).violations()
+    print(summary(plan, records, violations))
+    for violation in violations[:MAX_VIOLATIONS_SHOWN]:
+        print("\n".join(violation_lines(violation, records.logs)))
+    return int(bool(violations))
 
 
-def play_all(seeds: list[int], jobs: int, words: list[str]) -> int:
-    """Play each seed in a process of its own; how many broke a rule or did not end."""
+def run_all_seeds(seeds: list[int], jobs: int, arguments: list[str]) -> int:
+    """Run each seed in a process of its own; return how many violated a rule or did not end."""
     waiting, running, broken = deque(seeds), {}, 0
     while waiting or running:
         while waiting and len(running) < jobs:
             seed = waiting.popleft()
-            command = [sys.executable, "-m", "standins.soak", str(seed), "--jobs", "0", *words]
+            command = [sys.executable, "-m", "standins.soak", str(seed), "--jobs", "0", *arguments]
             process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
-            running[process] = seed, time.monotonic() + SEED_WITHIN
+            running[process] = seed, time.monotonic() + SEED_TIMEOUT
         for process, (seed, until) in list(running.items()):
             try:
                 output = process.communicate(timeout=0.1)[0]
@@ -87,23 +88,23 @@
             del running[process]
             broken += process.returncode != 0
             print(output, end="", flush=True)
-    print(f"{len(seeds)} seeds, {broken} with a broken rule")
+    print(f"{len(seeds)} seeds, {broken} with a violated rule")
     return broken
 
 
 def main() -> int:
-    """The command."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(prog="standins.soak")
-    parser.add_argument("seeds", type=seeds_of)
+    parser.add_argument("seeds", type=parse_seeds)
     parser.add_argument("--plan", default="")
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--keep", type=Path)
-    words = parser.parse_args()
-    if words.jobs == 0:
-        kinds = [Kind(name) for name in words.plan.split(",") if name]
-        return play_seed(words.seeds[0], kinds, words.keep)
-    passed_on = ["--plan", words.plan] + (["--keep", str(words.keep)] if words.keep else [])
-    return int(play_all(words.seeds, words.jobs, passed_on) > 0)
+    arguments = parser.parse_args()
+    if arguments.jobs == 0:
+        kinds = [FaultKind(name) for name in arguments.plan.split(",") if name]
+        return run_seed(arguments.seeds[0], kinds, arguments.keep)
+    passed_on = ["--plan", arguments.plan] + (["--keep", str(arguments.keep)] if arguments.keep else [])
+    return int(run_all_seeds(arguments.seeds, arguments.jobs, passed_on) > 0)
 
 
 if __name__ == "__main__":
--- a/standins/soak/strangers.py
+++ b/standins/soak/badclients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak day that keep to no rule: crowds that stay, and senders of what cannot be used."""
+"""Misbehaving clients of a soak run: idle connections in large numbers, and senders of unusable messages."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from aspenrill.net.hub import Closed, Hub, TimedOut
 from aspenrill.wire import thrift
 
-IS_WELL = thrift.frame(thrift.CALL, "isWell", 1, thrift.field(thrift.BOOL, 1, b"\0"))
-UNKNOWN = b"".join(thrift.frame(thrift.CALL, "nobody", number, b"") for number in range(1, 60))
-WRONG_NUMBERS = thrift.frame(thrift.CALL, "isWell", 7, b"") * 40
-NO_FRAME = b"\xc2\0\0\6GET / HTTP/1.1\r\n\r\n"
+IS_WELL_CALL = thrift.frame(thrift.CALL, "isWell", 1, thrift.field(thrift.BOOL, 1, b"\0"))
+UNKNOWN_CALLS = b"".join(thrift.frame(thrift.CALL, "nobody", number, b"") for number in range(1, 60))
+CALLS_WITHOUT_ARGUMENTS = thrift.frame(thrift.CALL, "isWell", 7, b"") * 40
+HTTP_REQUEST = b"\xc2\0\0\6GET / HTTP/1.1\r\n\r\n"
 EMPTY_FRAMES = b"\0\0\0\0" * 50
-OPENINGS = (b"", IS_WELL[:20], IS_WELL)  # mute, half a message, one question
+OPENINGS = (b"", IS_WELL_CALL[:20], IS_WELL_CALL)  # nothing, half a message, one call
 
 
-class Stranger:
-    """A place to meet for what these clients share."""
+class BadClient:
+    """A misbehaving client; its task is one of the two public methods."""
 
     def __init__(
-        self, hub: Hub, address: tuple[str, int], rng: random.Random, over: Callable[[], bool]
+        self, hub: Hub, address: tuple[str, int], rng: random.Random, finished: Callable[[], bool]
     ) -> None:
-        self.hub, self.address, self.rng, self.over = hub, address, rng, over
+        self.hub, self.address, self.rng, self.finished = hub, address, rng, finished
 
     def _connect(self) -> Connection | None:
         try:
@@ -34,11 +34,11 @@
         except Refused:
             return None
 
-    def stay(self) -> None:
-        """One of a crowd: says little or nothing, and comes again where it is ended."""
+    def hold_connection(self) -> None:
+        """Keep a connection open with little or nothing sent, and reconnect when it is ended."""
         self.hub.sleep(self.rng.uniform(0.0, 4.0))
         opening = self.rng.choice(OPENINGS)
-        while not self.over():
+        while not self.finished():
             conn = self._connect()
             if conn is not None:
                 try:
@@ -51,19 +51,21 @@
                     conn.close()
             self.hub.sleep(self.rng.uniform(0.2, 2.0))
 
-    def misbehave(self) -> None:
-        """Sends what cannot be used, in bursts, and leaves or stays a while."""
-        while not self.over():
+    def send_bad_messages(self) -> None:
+        """Send unusable messages in bursts and close at once or after a while."""
+        while not self.finished():
             conn = self._connect()
             if conn is not None:
                 try:
-                    conn.write(self._nonsense(), time.monotonic() + 5.0)
+                    conn.write(self._bad_message(), time.monotonic() + 5.0)
                     self.hub.sleep(self.rng.choice((0.0, 0.05, 1.0)))
                 except (Closed, TimedOut):
                     pass
                 conn.close()
             self.hub.sleep(self.rng.uniform(0.05, 0.5))
 
-    def _nonsense(self) -> bytes:
+    def _bad_message(self) -> bytes:
         noise = struct.pack(">I", self.rng.getrandbits(32)) + self.rng.randbytes(200)
-        return self.rng.choice((UNKNOWN, WRONG_NUMBERS, NO_FRAME, EMPTY_FRAMES, noise, IS_WELL[:30]))
+        return self.rng.choice(
+            (UNKNOWN_CALLS, CALLS_WITHOUT_ARGUMENTS, HTTP_REQUEST, EMPTY_FRAMES, noise, IS_WELL_CALL[:30])
+        )
--- a/standins/soak/defects.py
+++ b/standins/soak/defects.py
@@ -1,4 +1,4 @@
-"""Defects planted in a copy of the tree, to prove that the judge can fail: each is caught within ten seeds.
+"""Plants known defects in a copy of the tree to prove that the soak detects each of them within ten seeds.
 
 python -m standins.soak.defects [NAME...] [--jobs 3]
 """
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True)
-class Change:
-    """A text that stands once in a file, and what takes its place."""
+class Replacement:
+    """A text that occurs once in a file, and its replacement."""
 
     file: str
     old: str
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """A mistake, the kinds of trouble under which it shows, and the rule that it breaks."""
+    """A defect, the kinds of fault that expose it, and the rule that it violates."""
 
     name: str
     rule: str
     plan: str
-    changes: tuple[Change, ...]
+    changes: tuple[Replacement, ...]
 
 
 THRIFT, NODE = "aspenrill/fronts/thrift.py", "aspenrill/node.py"
@@ -44,23 +44,27 @@
         "lost",
         "links",
         (
-            Change(THRIFT, "conn.frame(MOST_FRAME, None)", "conn.frame(MOST_FRAME, time.monotonic() + 2.0)"),
-            Change(THRIFT, "        except Closed as why:\n", "        except (Closed, TimedOut) as why:\n"),
-            Change(THRIFT, "import Closed, Hub\n", "import Closed, Hub, TimedOut\n"),
+            Replacement(
+                THRIFT, "conn.frame(MOST_FRAME, None)", "conn.frame(MOST_FRAME, time.monotonic() + 2.0)"
+            ),
+            Replacement(
+                THRIFT, "        except Closed as why:\n", "        except (Closed, TimedOut) as why:\n"
+            ),
+            Replacement(THRIFT, "import Closed, Hub\n", "import Closed, Hub, TimedOut\n"),
         ),
     ),
     Defect(
         "discards-behind-a-bad-message",
         "lost",
         "bad-clients",
-        (Change(THRIFT, "        self.bad += 1\n", '        raise Closed("a bad message")\n'),),
+        (Replacement(THRIFT, "        self.bad += 1\n", '        raise Closed("a bad message")\n'),),
     ),
     Defect(
         "exits-before-the-last-answer",
         "lost",
         "restarts",
         (
-            Change(
+            Replacement(
                 NODE,
                 "        self._drained(kill_at - ANSWERED)\n",
                 "        self.hub.stop()\n        return\n",
@@ -72,7 +76,7 @@
         "lost",
         "links",
         (
-            Change(
+            Replacement(
                 "aspenrill/fronts/thrift_answers.py",
                 "        self._parts += parts\n",
                 "        self._parts += parts + parts if number % 20 == 9 else parts\n",
@@ -84,7 +88,7 @@
         "deadline",
         "engines",
         (
-            Change(
+            Replacement(
                 "aspenrill/fronts/thrift_requests.py",
                 "int(wait) / 1000 - MARGIN - spent",
                 "int(wait) / 1000 + 0.5",
@@ -95,14 +99,14 @@
         "half-closes-early",
         "lost",
         "links",
-        (Change(NODE, "            listener.stop_accepting()\n", "            listener.drain()\n"),),
+        (Replacement(NODE, "            listener.stop_accepting()\n", "            listener.drain()\n"),),
     ),
     Defect(
         "stays-beyond-the-kill",
         "exit",
         "restarts",
         (
-            Change(
+            Replacement(
                 NODE, "        self.hub.stop()\n", "        self.hub.sleep(5.0)\n        self.hub.stop()\n"
             ),
         ),
@@ -110,8 +114,8 @@
 )
 
 
-def planted(defect: Defect, folder: Path) -> Path:
-    """A copy of the tree with the defect."""
+def plant(defect: Defect, folder: Path) -> Path:
+    """Copy the tree into `folder` and apply the defect to the copy."""
     tree = folder / defect.name
     for name in COPIED:
         shutil.copytree(ROOT / name, tree / name, ignore=shutil.ignore_patterns("__pycache__"))
@@ -122,15 +126,15 @@
     return tree
 
 
-def caught(defect: Defect, tree: Path, jobs: int) -> list[str]:
-    """The lines of the seeds that broke its rule there."""
+def violations_in(defect: Defect, tree: Path, jobs: int) -> list[str]:
+    """Run the soak on the defective copy; return the lines of the seeds that violated the defect's rule."""
     command = [sys.executable, "-m", "standins.soak", SEEDS, "--plan", defect.plan, "--jobs", str(jobs)]
     ended = subprocess.run(command, cwd=tree, capture_output=True, text=True)
     return [line for line in ended.stdout.splitlines() if f" {defect.rule}:" in line]
 
 
 def main() -> int:
-    """The command; 1 where a defect was not caught."""
+    """Run the command line; 1 if a defect was not detected."""
     parser = argparse.ArgumentParser(prog="standins.soak.defects")
     parser.add_argument("names", nargs="*")
     parser.add_argument("--jobs", type=int, default=3)
@@ -140,7 +144,7 @@
         if words.names and defect.name not in words.names:
             continue
         with tempfile.TemporaryDirectory() as folder:
-            lines = caught(defect, planted(defect, Path(folder)), words.jobs)
+            lines = violations_in(defect, plant(defect, Path(folder)), words.jobs)
         print(f"{defect.name}: {defect.rule} in {len(lines)} of seeds {SEEDS}", flush=True)
         missed += not lines
     return int(missed > 0)
--- a/standins/soak/engines.py
+++ b/standins/soak/engines.py
@@ -1,4 +1,4 @@
-"""Engines of a soak day: they note each run of a query, and some of their queries end badly."""
+"""Engines of a soak run: they record each attempt, and a share of their attempts fails in some way."""
 
 from __future__ import annotations
 
@@ -11,86 +11,87 @@
 from ..world import Act, HttpEngine
 from .records import EngineAttempt
 
-BAD_ENDS = ("error", "full", "reset", "hang", "garbage")
-HANG_FOR = 30.0  # seconds without a word
-LONG, SHORT = (0.3, 2.0), (0.002, 0.06)  # seconds of work
-LONG_ODDS = 0.05
-FILLER = "x" * 40
+FAULT_OUTCOMES = ("error", "full", "reset", "hang", "garbage")
+HANG_DURATION = 30.0  # seconds without an answer
+LONG_WORK = (0.3, 2.0)  # seconds, from and to
+SHORT_WORK = (0.002, 0.06)  # seconds, from and to
+LONG_WORK_ODDS = 0.05  # share of the queries
+FILLER = "x" * 40  # a column of each row
 
 
-def statement_of(number: int, rows: int) -> str:
-    """A statement whose result any engine knows."""
+def make_statement(number: int, rows: int) -> str:
+    """Return a statement from which every engine can derive the result."""
     return f"select {number} rows {rows}"
 
 
-def result_of(statement: str) -> list[tuple[str, str, str]]:
-    """The rows of such a statement."""
+def result_rows(statement: str) -> list[tuple[str, str, str]]:
+    """Return the rows of such a statement."""
     return [(statement, str(row), FILLER) for row in range(int(statement.split()[-1]))]
 
 
-def text_of(statement: str) -> bytes:
-    """The same as a client reads it."""
-    return "".join("\t".join(row) + "\n" for row in result_of(statement)).encode()
+def expected_text(statement: str) -> bytes:
+    """Return the result as the client receives it."""
+    return "".join("\t".join(row) + "\n" for row in result_rows(statement)).encode()
 
 
 class SoakEngine(HttpEngine):
-    """An engine that notes what runs. `trouble`: share of its queries that end badly."""
+    """An engine that records its attempts. `engine_fault_share`: share of its queries that fail."""
 
-    def __init__(self, hub: Hub, name: str, rng: random.Random, trouble: float) -> None:
+    def __init__(self, hub: Hub, name: str, rng: random.Random, engine_fault_share: float) -> None:
         super().__init__(hub, name)
-        self.rng, self.trouble = rng, trouble
-        self.notes: list[EngineAttempt] = []
-        self._latest: dict[str, EngineAttempt] = {}  # by id
-        self.act = self._draw
+        self.rng, self.engine_fault_share = rng, engine_fault_share
+        self.attempts: list[EngineAttempt] = []
+        self._latest_attempts: dict[str, EngineAttempt] = {}  # by id
+        self.act = self._draw_outcome
 
-    def _draw(self, statement: str) -> Act:
-        after = self.rng.uniform(*(LONG if self.rng.random() < LONG_ODDS else SHORT))
-        end = self.rng.choice(BAD_ENDS) if self.rng.random() < self.trouble else "ok"
-        return Act(after=0.0 if end == "full" else after, end=end, rows=result_of(statement))
+    def _draw_outcome(self, statement: str) -> Act:
+        after = self.rng.uniform(*(LONG_WORK if self.rng.random() < LONG_WORK_ODDS else SHORT_WORK))
+        end = self.rng.choice(FAULT_OUTCOMES) if self.rng.random() < self.engine_fault_share else "ok"
+        return Act(after=0.0 if end == "full" else after, end=end, rows=result_rows(statement))
 
     def posted(self, conn: Connection, fields: dict[str, str], statement: str) -> None:
-        """See HttpEngine; the run is noted first."""
+        """See HttpEngine; the attempt is recorded first."""
         now = time.monotonic()
-        note = EngineAttempt(
+        attempt = EngineAttempt(
             fields["x-ticket"],
             self.name,
             fields["x-queue"],
             fields.get("x-nonce", ""),
             now,
             int(fields["x-max-ms"]) / 1000,
-            last_asked=now,
+            last_polled_at=now,
         )
-        self.notes.append(note)
-        self._latest[note.id] = note
+        self.attempts.append(attempt)
+        self._latest_attempts[attempt.id] = attempt
         super().posted(conn, fields, statement)
 
-    def deleted(self, ident: str) -> None:
+    def deleted(self, attempt_id: str) -> None:
         """See HttpEngine."""
-        self._end(ident)
-        super().deleted(ident)
+        self._end(attempt_id)
+        super().deleted(attempt_id)
 
-    def news(self, conn: Connection, ident: str) -> None:
-        """See HttpEngine; some never tell, or tell what cannot be read."""
-        query = self.queries.get(ident)
+    def news(self, conn: Connection, attempt_id: str) -> None:
+        """See HttpEngine; some polls are never answered, or answered with garbage."""
+        query = self.queries.get(attempt_id)
         if query is None:
-            return super().news(conn, ident)
-        note = self._latest[ident]
-        note.last_asked = time.monotonic()
+            return super().news(conn, attempt_id)
+        attempt = self._latest_attempts[attempt_id]
+        attempt.last_polled_at = time.monotonic()
         if query[2].end == "hang":
-            self.hub.sleep(HANG_FOR)
+            self.hub.sleep(HANG_DURATION)
             raise Closed("hangs")
         if query[2].end == "garbage":
             conn.write(bytes(self.rng.randrange(1, 9) for _ in range(64)) + b"\r\n\r\n", time.monotonic() + 5)
             raise Closed("garbage")
         try:
-            super().news(conn, ident)
+            super().news(conn, attempt_id)
         finally:
             if time.monotonic() >= query[1] + query[2].after:
-                note.refused = query[2].end == "full"
-                self._end(ident)
+                attempt.refused = query[2].end == "full"
+                self._end(attempt_id)
         return None
 
-    def _end(self, ident: str) -> None:
-        note = self._latest.get(ident)
-        if note is not None and note.ended is None:
-            note.ended = time.monotonic()
+    def _end(self, attempt_id: str) -> None:
+        attempt = self._latest_attempts.get(attempt_id)
+        if attempt is not None and attempt.ended_at is None:
+            attempt.ended_at = time.monotonic()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short part of the soak: seeded days on real front ends, always the same. The long one: make soak."""
+"""A short soak: a fixed set of seeds on real front ends. The long one is `make soak`."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 import pytest
 
-WITHIN = 400.0  # seconds of a machine that is busy; it takes about 15
-PARTS = {
+TIMEOUT = 400.0  # seconds on a busy machine; a case takes about 15
+CASES = {
     "links": ("102-104", "links"),
     "links-stops-restarts": ("105-107", "links,stops,restarts"),
     "crowd-bad-clients": ("108-110", "links,crowd,bad-clients"),
@@ -16,9 +16,9 @@
 }
 
 
-@pytest.mark.parametrize("part", list(PARTS))
-def test_no_day_breaks_a_rule(part):
-    seeds, kinds = PARTS[part]
+@pytest.mark.parametrize("case", list(CASES))
+def test_no_seed_violates_a_rule(case):
+    seeds, kinds = CASES[case]
     command = [sys.executable, "-m", "standins.soak", seeds, "--plan", kinds, "--jobs", "3"]
-    ended = subprocess.run(command, capture_output=True, text=True, timeout=WITHIN)
+    ended = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT)
     assert ended.returncode == 0, ended.stdout[-6000:] + ended.stderr[-2000:]
