--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, as commands: python -m benchmarks.NAME. They need the development requirements."""
+"""Benchmarks, each run as a command: python -m benchmarks.NAME. They need the development requirements."""
--- a/benchmarks/fleet_forecast.py
+++ b/benchmarks/fleet_forecast.py
@@ -117,7 +117,7 @@
 
 
 def known_series(name: str, hours: list[float], missing: set[int], end: int, rng: random.Random) -> Series:
-    """The series as known at the end of an hour; in "late counts", half of the last 48 hours are missing."""
+    """The series as known at the end of an hour; in "late counts", half of its last 48 hours are missing."""
     late = {at for at in range(end - 48, end) if name == "late counts" and rng.random() < 0.5}
     return [None if at in missing or at in late else hours[at] for at in range(end)]
 
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -3,9 +3,9 @@
 `python -m benchmarks.fleet_overload [--json FILE] [--sizes 3,30,200] [--seconds 40] [--seed 1]`
 
 The model runs on a virtual clock without I/O. All warm engines form one pool of `THREADS_PER_PROCESS`
-threads per process. Up to that knee each thread does one core-second of work per second; beyond it the
-throughput of the pool falls with the square root of the excess. Requests of three classes arrive as Poisson
-processes. A process queues those beyond its slots, highest worth per work first, until their time budget is
+threads per process. With up to that many requests in flight each does one core-second of work per second;
+with f times as many the throughput of the whole pool falls by the square root of f. Requests of three
+classes arrive as Poisson processes. A process queues those beyond its slots, highest worth per work first, until their time budget is
 over. Served worth is that of requests that end in time. Without peers a process has an equal share of the
 pool, with peers the share that the overload component gives it. Clients of a killed process move to the
 others. Not modelled: single engines, their health, handshakes, memory, and CPU time of the front ends.
@@ -105,7 +105,7 @@
             self.in_flight.append([work, deadline, worth])
 
     def advance_work(self, speed: float) -> None:
-        """Advance the requests in flight by one step; `speed` is core-seconds a second of each thread."""
+        """Advance the requests in flight by one step; `speed` is core-seconds a second of each request."""
         for item in self.in_flight:
             item[0] -= speed * STEP_S
         ended = [item for item in self.in_flight if item[0] <= 0]
