--- a/aspenrill/gathering.py
+++ b/aspenrill/gathering.py
@@ -11,10 +11,10 @@
 from .membership.rule import Membership
 from .net.hub import Hub
 from .resolver.client import Resolver
+from .roster.discovery import EngineDiscovery
 from .roster.dnssd import DnsSd
-from .roster.follower import Follower
-from .roster.merge import Roster
 from .roster.srv import Srv
+from .roster.watcher import DnsWatcher
 from .sources import ResolverSpec, Sources, SourceSpec, policy_of
 
 
@@ -32,7 +32,7 @@
     ) -> None:
         self.hub, self.kinds, self.sources = hub, kinds, sources
         self.membership = Membership(sources.rules, sources.specs, clock(), policy_of(sources))
-        self.roster = Roster(hub, clock, self.membership, post, most_engines)
+        self.roster = EngineDiscovery(hub, clock, self.membership, post, most_engines)
         self.resolvers: dict[ResolverSpec, Resolver] = {}
         for source in sources.sources:
             self._begin(source)
@@ -41,7 +41,7 @@
         """What the bulletin tells, where it is one of the sources."""
         for source in self.sources.sources:
             if source.type == "bulletin":
-                self.roster.news_of(source.name)(news)
+                self.roster.bulletin_handler(source.name)(news)
 
     def change(self, sources: Sources) -> None:
         """Other sources, order, resolvers or rules: engines, and what runs there, stay as they are as long as
@@ -52,13 +52,13 @@
         names = {source.name for source in sources.sources}
         for source in before.sources:
             if source.name not in names:
-                self.roster.drop(source.name)
+                self.roster.stop_source(source.name)
         for source in sources.sources:
             if source.type == "list" or old.get(source.name) != (source, self._resolver_of(sources, source)):
                 self._begin(source)
         used = {self._resolver_of(sources, source) for source in sources.sources}
         self.resolvers = {spec: one for spec, one in self.resolvers.items() if spec in used}
-        self.roster.flush()
+        self.roster.publish_changes()
 
     @staticmethod
     def _resolver_of(sources: Sources, source: SourceSpec) -> ResolverSpec | None:
@@ -66,16 +66,16 @@
 
     def _begin(self, source: SourceSpec) -> None:
         if source.type == "list":
-            self.roster.drop(source.name)
-            self.roster.told(source.name, source.engines)
+            self.roster.stop_source(source.name)
+            self.roster.on_list(source.name, source.engines)
         elif source.type != "bulletin":
-            self.roster.follow(source.name, self._follower(source))
+            self.roster.start_source(source.name, self._new_watcher(source))
 
-    def _follower(self, source: SourceSpec) -> Follower:
+    def _new_watcher(self, source: SourceSpec) -> DnsWatcher:
         spec = self.sources.resolver(source.resolver)
         resolver = self.resolvers.get(spec)
         if resolver is None:
-            resolver = self.resolvers[spec] = Resolver(self.hub, spec.servers, spec.patience, spec.lifetimes)
+            resolver = self.resolvers[spec] = Resolver(self.hub, spec.servers, spec.timeouts, spec.lifetimes)
         if source.type == "srv":
             return Srv(
                 self.hub,
--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -26,7 +26,7 @@
 from .net.listener import Listener
 from .net.scarcity import READ_FOR, START_FOR, retry
 from .net.wallclock import watch_wall_clock
-from .roster.bulletin import Bulletin
+from .roster.bulletin import BulletinWatcher
 from .settings import settings_from
 from .starttimes import StartTimes
 from .wire import Malformed
@@ -287,7 +287,7 @@
         "thrift",
     )
     _extra_front(hub, node, tds_file, (config.classes, keyed, config.tenants))
-    bulletin = Bulletin(
+    bulletin = BulletinWatcher(
         hub, config.bulletin, config.last, lambda news: hear(news, node.post), config.most_engines
     )
     bulletin.start()
--- a/aspenrill/resolver/__init__.py
+++ b/aspenrill/resolver/__init__.py
@@ -1,1 +1,1 @@
-"""A small caching resolver: what is fresh, whom to ask next and when, and the sockets apart from that."""
+"""A small caching DNS resolver. Cache, server selection and look-up logic are separate from the sockets."""
--- a/aspenrill/resolver/cache.py
+++ b/aspenrill/resolver/cache.py
@@ -1,6 +1,6 @@
-"""What has been answered, and for how long that holds: RFC 1035 and 2181 lifetimes, RFC 2308, RFC 8767.
+"""Cache of DNS answers: lifetimes by RFC 1035 and 2181, negative answers by RFC 2308, stale ones by RFC 8767.
 
-No I/O; times are seconds of one clock that never goes back, and come in as arguments.
+No I/O; times are seconds of one monotonic clock, passed as arguments.
 """
 
 from __future__ import annotations
@@ -17,56 +17,63 @@
 
 @dataclass(frozen=True, slots=True)
 class Lifetimes:
-    """Bounds of lifetimes, in seconds. `early` is the part of a life after which it is refreshed, drawn anew
-    each time between its two figures, so that programs started together don't ask together."""
+    """Bounds of lifetimes, in seconds.
 
-    least: float = 1.0
-    most: float = 3600.0
-    most_negative: float = 300.0
-    stale: float = 86400.0  # how long beyond its life an answer is of use while look-ups fail
-    early: tuple[float, float] = (0.8, 0.95)
-    entries: int = 8192
+    `refresh_window`: the fraction of its lifetime after which an answer is refreshed, chosen at random
+    between the two bounds each time, so that programs started together don't query together.
+    """
+
+    min_ttl: float = 1.0
+    max_ttl: float = 3600.0
+    max_negative_ttl: float = 300.0
+    max_stale: float = 86400.0  # how long an expired answer is used while look-ups fail
+    refresh_window: tuple[float, float] = (0.8, 0.95)
+    max_entries: int = 8192
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Records of one kind under a name. Empty with code NXDOMAIN where the name does not exist, empty with
-    NOERROR where it has none of this kind. `stale`: its life is over, and look-ups fail."""
+    """The records of one kind under a name.
+
+    Empty with code NXDOMAIN if the name does not exist, empty with NOERROR if it has none of this kind.
+    `stale`: it has expired, and look-ups fail.
+    """
 
     code: int
     records: tuple[dns.Record, ...]
-    learned: float
-    refresh: float  # from when on it is asked for anew
-    until: float  # the end of its life
+    learned_at: float
+    refresh_at: float  # from then on it is looked up again
+    expires_at: float
     stale: bool = False
-    why: str = ""  # what failed, where it is stale
+    reason: str = ""  # why the look-up failed, if it is stale
 
     def age(self, now: float) -> float:
-        """Seconds since it was answered."""
-        return now - self.learned
+        """Return the seconds since it was learned."""
+        return now - self.learned_at
 
 
 class Cache:
-    """Answers by name and kind, the longest unused one giving way; names are compared without case."""
+    """Answers by name and kind, with LRU eviction; names are compared without case."""
 
     def __init__(self, lifetimes: Lifetimes, rng: random.Random) -> None:
         self.lifetimes, self.rng = lifetimes, rng
         self.answers: OrderedDict[Key, Answer] = OrderedDict()
 
-    def fresh(self, now: float, name: dns.Name, kind: int) -> Answer | None:
-        """One that need not be asked for yet."""
+    def get_fresh(self, now: float, name: dns.Name, kind: int) -> Answer | None:
+        """Return an answer that needs no refresh yet."""
         found = self._get(dns.fold(name), kind)
-        return found if found is not None and now < found.refresh else None
+        return found if found is not None and now < found.refresh_at else None
 
-    def last(self, now: float, name: dns.Name, kind: int, why: str) -> Answer | None:
-        """The last good answer while a look-up fails; stale past its life, None when that is long ago.
+    def get_last(self, now: float, name: dns.Name, kind: int, reason: str) -> Answer | None:
+        """Return the last good answer after a failed look-up, or None if it expired too long ago.
 
-        RFC 8767, 5: failing look-ups change nothing of what was known; an answer does, also a negative one.
+        It is marked stale if it has expired. RFC 8767, 5: a failed look-up does not change the cached answer;
+        a new answer replaces it, also a negative one.
         """
         found = self._get(dns.fold(name), kind)
-        if found is None or now > found.until + self.lifetimes.stale:
+        if found is None or now > found.expires_at + self.lifetimes.max_stale:
             return None
-        return found if now < found.until else replace(found, stale=True, why=why)
+        return found if now < found.expires_at else replace(found, stale=True, reason=reason)
 
     def _get(self, name: dns.Name, kind: int) -> Answer | None:
         found = self.answers.get((name, kind))
@@ -77,26 +84,30 @@
     def store(
         self, now: float, name: dns.Name, kind: int, code: int, records: Sequence[dns.Record], ttl: float
     ) -> Answer:
-        """Keep an answer for `ttl` seconds, clamped."""
-        limits = self.lifetimes
-        most = limits.most if records else min(limits.most, limits.most_negative)
-        life = min(most, max(limits.least, ttl))
-        low, high = limits.early
+        """Store an answer for `ttl` seconds, clamped to the configured bounds."""
+        bounds = self.lifetimes
+        max_ttl = bounds.max_ttl if records else min(bounds.max_ttl, bounds.max_negative_ttl)
+        lifetime = min(max_ttl, max(bounds.min_ttl, ttl))
+        low, high = bounds.refresh_window
         found = Answer(
-            code, tuple(records), now, now + life * (low + (high - low) * self.rng.random()), now + life
+            code,
+            tuple(records),
+            now,
+            now + lifetime * (low + (high - low) * self.rng.random()),
+            now + lifetime,
         )
         key = dns.fold(name), kind
         self.answers[key] = found
         self.answers.move_to_end(key)
-        while len(self.answers) > limits.entries:
+        while len(self.answers) > bounds.max_entries:
             self.answers.popitem(last=False)
         return found
 
 
 def negative_ttl(authority: Sequence[dns.Record]) -> float:
-    """How long "there is none" holds: the lesser of the SOA's own life and its minimum (RFC 2308, 5).
+    """Return the TTL of a negative answer: the lesser of the SOA's own TTL and its minimum (RFC 2308, 5).
 
-    0 without an SOA: such an answer is not to be kept, and is asked for again after the least lifetime.
+    0 without an SOA: such an answer should not be cached, and is looked up again after the minimum lifetime.
     """
     for record in authority:
         if record.kind == dns.SOA:
--- a/aspenrill/resolver/client.py
+++ b/aspenrill/resolver/client.py
@@ -1,4 +1,4 @@
-"""The resolver on the hub: puts questions to sockets, keeps answers, joins look-ups for the same."""
+"""The resolver on the hub: sends queries, caches answers, and coalesces look-ups for the same records."""
 
 from __future__ import annotations
 
@@ -14,143 +14,146 @@
 from ..net.hub import READ, Closed, Hub, Queue, Signal, TimedOut
 from ..wire import Malformed, dns
 from .cache import Answer, Cache, Lifetimes
-from .lookup import Ask, Failed, Heard, Patience, look_up
+from .lookup import Failed, Outcome, Patience, Question, lookup_steps
 from .servers import Address, Servers
 
-MOST_OPEN = 16  # questions out at a time, and so descriptors
-MOST_STRANGE = 32  # datagrams that answer nothing, after which a stream is used
-PORTS = (1024, 65536)
-PORT_TRIES = 8
-PATIENCE, LIFETIMES = Patience(), Lifetimes()
+MAX_OPEN_QUERIES = 16  # at a time, each with a file descriptor
+MAX_UNRELATED_REPLIES = 32  # datagrams that match no query, after which TCP is used
+PORTS = (1024, 65536)  # source ports, from and below
+PORT_TRIES = 8  # random ports tried before the system chooses one
+DEFAULT_TIMEOUTS = Patience()
+DEFAULT_LIFETIMES = Lifetimes()
 
 
 class Resolver:
-    """Look-ups through some name servers. `lookup` and `many` wait, in the task that calls them."""
+    """Looks up records through the configured name servers. `lookup` and `lookup_many` block their task."""
 
     def __init__(
         self,
         hub: Hub,
         servers: Sequence[Address],
-        patience: Patience = PATIENCE,
-        lifetimes: Lifetimes = LIFETIMES,
+        timeouts: Patience = DEFAULT_TIMEOUTS,
+        lifetimes: Lifetimes = DEFAULT_LIFETIMES,
         rng: random.Random | None = None,
     ) -> None:
-        self.hub, self.patience = hub, patience
+        self.hub, self.timeouts = hub, timeouts
         self.random = rng or random.SystemRandom()
         self.servers = Servers(servers, self.random)
         self.cache = Cache(lifetimes, self.random)
-        self.asked = 0  # questions put to a server, since the start
-        self._flights: dict[tuple[dns.Name, int], Signal] = {}
-        self._open, self._freed = 0, Signal(hub)
+        self.queries_sent = 0  # since the start
+        self._lookups: dict[tuple[dns.Name, int], Signal] = {}
+        self._open_queries, self._query_done = 0, Signal(hub)
 
-    def lookup(self, name: dns.Name, kind: int, anew: bool = False) -> Answer:
-        """Records of a kind under a name; `anew` asks even where the cache knows. Failed where there is no
-        answer and none is remembered; a remembered one past its life is marked stale."""
+    def lookup(self, name: dns.Name, kind: int, bypass_cache: bool = False) -> Answer:
+        """Return the records of a kind under a name; `bypass_cache` sends a query even for a fresh answer.
+
+        Raises Failed if there is no answer and none is cached; an expired one from the cache is marked stale.
+        """
         key = dns.fold(name), kind
         while True:
             now = time.monotonic()
-            if not anew and (found := self.cache.fresh(now, name, kind)) is not None:
-                return found
-            if key not in self._flights:
+            if not bypass_cache and (cached := self.cache.get_fresh(now, name, kind)) is not None:
+                return cached
+            if key not in self._lookups:
                 break
             try:
-                self._flights[key].wait(self.patience.lookup)  # another asks just that
+                self._lookups[key].wait(self.timeouts.lookup)  # another task looks up the same records
             except TimedOut:
-                return self._last(name, kind, "out of time")
-            if self.cache.fresh(time.monotonic(), name, kind) is None:
-                return self._last(name, kind, "another look-up of it failed")
-            anew = False
-        flight = self._flights[key] = Signal(self.hub)
+                return self._last_known(name, kind, "out of time")
+            if self.cache.get_fresh(time.monotonic(), name, kind) is None:
+                return self._last_known(name, kind, "another look-up of it failed")
+            bypass_cache = False
+        lookup_done = self._lookups[key] = Signal(self.hub)
         try:
-            steps = look_up(now, name, kind, self.servers, self.patience)
-            ask = next(steps)
+            steps = lookup_steps(now, name, kind, self.servers, self.timeouts)
+            question = next(steps)
             while True:
-                ask = steps.send(self._put(ask))
+                question = steps.send(self._send(question))
         except StopIteration as end:
-            found = end.value
-            return self.cache.store(time.monotonic(), name, kind, found.code, found.records, found.ttl)
+            result = end.value
+            return self.cache.store(time.monotonic(), name, kind, result.code, result.records, result.ttl)
         except Failed as why:
-            return self._last(name, kind, str(why))
+            return self._last_known(name, kind, str(why))
         finally:
-            del self._flights[key]
-            flight.set()
+            del self._lookups[key]
+            lookup_done.set()
 
-    def _last(self, name: dns.Name, kind: int, why: str) -> Answer:
-        found = self.cache.last(time.monotonic(), name, kind, why)
-        if found is None:
+    def _last_known(self, name: dns.Name, kind: int, why: str) -> Answer:
+        answer = self.cache.get_last(time.monotonic(), name, kind, why)
+        if answer is None:
             raise Failed(why)
-        return found
+        return answer
 
-    def many(self, wanted: Sequence[tuple[dns.Name, int]]) -> list[Answer | Failed]:
-        """The answers to many look-ups, in their order, some of them at a time."""
-        found: list[Answer | Failed | None] = [None] * len(wanted)
-        now, rest = time.monotonic(), []
+    def lookup_many(self, wanted: Sequence[tuple[dns.Name, int]]) -> list[Answer | Failed]:
+        """Return the answers to several look-ups, in their order; up to MAX_OPEN_QUERIES run concurrently."""
+        results: list[Answer | Failed | None] = [None] * len(wanted)
+        now, pending = time.monotonic(), []
         for at, (name, kind) in enumerate(wanted):
-            found[at] = self.cache.fresh(now, name, kind)
-            if found[at] is None:
-                rest.append(at)
-        ends, rest = Queue(self.hub), rest[::-1]
+            results[at] = self.cache.get_fresh(now, name, kind)
+            if results[at] is None:
+                pending.append(at)
+        finished, pending = Queue(self.hub), pending[::-1]
 
         def work() -> None:
             try:
-                while rest:
-                    at = rest.pop()
+                while pending:
+                    at = pending.pop()
                     try:
-                        found[at] = self.lookup(*wanted[at])
+                        results[at] = self.lookup(*wanted[at])
                     except Failed as why:
-                        found[at] = why
+                        results[at] = why
             finally:
-                ends.put(None)
+                finished.put(None)
 
-        count = min(MOST_OPEN, len(rest))
+        count = min(MAX_OPEN_QUERIES, len(pending))
         try:
             for _ in range(count):
                 self.hub.spawn(work, name="look-up")
             for _ in range(count):
-                ends.get()
+                finished.get()
         finally:
-            rest.clear()  # who asked is gone: the workers end after what they have in hand
-        return [one if one is not None else Failed("not asked") for one in found]
+            pending.clear()  # if the caller was interrupted, each worker ends after its current look-up
+        return [one if one is not None else Failed("not asked") for one in results]
 
     # ---- sockets --------------------------------------------------------------------------------------
 
-    def _put(self, ask: Ask) -> Heard:
-        """One question, within its time whatever happens."""
+    def _send(self, question: Question) -> Outcome:
+        """Send one question and return its outcome by its deadline, whatever fails."""
         try:
-            while self._open >= MOST_OPEN:
-                seconds = ask.until - time.monotonic()
+            while self._open_queries >= MAX_OPEN_QUERIES:
+                seconds = question.deadline - time.monotonic()
                 if seconds <= 0:
                     raise TimedOut
-                self._freed.wait(seconds)
-            self._open += 1
+                self._query_done.wait(seconds)
+            self._open_queries += 1
             try:
-                self.asked += 1
-                number = self.random.randrange(65536)
-                query = dns.query(number, ask.name, ask.kind, ask.payload)
-                if ask.stream:
-                    return Heard(time.monotonic(), self._stream(query, number, ask))
-                return self._datagram(query, number, ask)
+                self.queries_sent += 1
+                query_id = self.random.randrange(65536)
+                query = dns.query(query_id, question.name, question.kind, question.payload)
+                if question.stream:
+                    return Outcome(time.monotonic(), self._send_stream(query, query_id, question))
+                return self._send_datagram(query, query_id, question)
             finally:
-                self._open -= 1
-                self._freed.set()
+                self._open_queries -= 1
+                self._query_done.set()
         except TimedOut:
             why = "no answer in time"
         except (Closed, Refused, Malformed) as error:
             why = str(error) or type(error).__name__
         except OSError as error:
             why = error.strerror or str(error)
-        return Heard(time.monotonic(), None, ("by stream: " if ask.stream else "") + why)
+        return Outcome(time.monotonic(), None, ("by stream: " if question.stream else "") + why)
 
-    def _datagram(self, query: bytes, number: int, ask: Ask) -> Heard:
-        with socket.socket(family_of(ask.server.address[0]), socket.SOCK_DGRAM) as sock:
+    def _send_datagram(self, query: bytes, query_id: int, question: Question) -> Outcome:
+        with socket.socket(family_of(question.server.address[0]), socket.SOCK_DGRAM) as sock:
             sock.setblocking(False)
             self._bind(sock)
-            sock.connect(ask.server.address)  # from here on the system passes on this sender's datagrams only
+            sock.connect(question.server.address)  # now only datagrams of this server arrive
             sock.send(query)
-            strange = 0
+            unrelated = 0
             try:
                 while True:
-                    seconds = ask.until - time.monotonic()
+                    seconds = question.deadline - time.monotonic()
                     if seconds <= 0:
                         raise TimedOut
                     try:
@@ -162,16 +165,16 @@
                         reply = dns.read_reply(data)
                     except Malformed:
                         reply = None
-                    if reply is not None and answers(reply, number, ask):
-                        return Heard(time.monotonic(), reply)
-                    strange += 1
-                    if strange >= MOST_STRANGE:
-                        return Heard(time.monotonic(), None, "many answers to other questions", True)
+                    if reply is not None and is_reply_to(reply, query_id, question):
+                        return Outcome(time.monotonic(), reply)
+                    unrelated += 1
+                    if unrelated >= MAX_UNRELATED_REPLIES:
+                        return Outcome(time.monotonic(), None, "many answers to other questions", True)
             finally:
                 self.hub.forget_fd(sock.fileno())
 
     def _bind(self, sock: socket.socket) -> None:
-        """A port by chance (RFC 5452, 9.2); the system's choice where those drawn are in use."""
+        """Bind to a random port (RFC 5452, 9.2), or to the system's choice if those drawn are in use."""
         anywhere = "::" if sock.family == socket.AF_INET6 else "0.0.0.0"
         for _ in range(PORT_TRIES):
             try:
@@ -180,23 +183,27 @@
                 if why.errno not in (errno.EADDRINUSE, errno.EACCES):
                     raise
 
-    def _stream(self, query: bytes, number: int, ask: Ask) -> dns.Reply:
-        conn = connect(self.hub, ask.server.address, ask.until)
+    def _send_stream(self, query: bytes, query_id: int, question: Question) -> dns.Reply:
+        conn = connect(self.hub, question.server.address, question.deadline)
         try:
-            conn.write(len(query).to_bytes(2, "big") + query, ask.until)
-            reply = dns.read_reply(conn.read(int.from_bytes(conn.read(2, ask.until), "big"), ask.until))
+            conn.write(len(query).to_bytes(2, "big") + query, question.deadline)
+            reply = dns.read_reply(
+                conn.read(int.from_bytes(conn.read(2, question.deadline), "big"), question.deadline)
+            )
         finally:
             conn.close()
-        if not answers(reply, number, ask):
+        if not is_reply_to(reply, query_id, question):
             raise Malformed("answer to another question")
         return reply
 
 
-def answers(reply: dns.Reply, number: int, ask: Ask) -> bool:
-    """Whether a reply is one to this question (RFC 5452, 9.1); servers that read nothing of it may leave the
-    question out of an error."""
-    if reply.number != number:
+def is_reply_to(reply: dns.Reply, query_id: int, question: Question) -> bool:
+    """Whether a reply matches this question (RFC 5452, 9.1).
+
+    A server that cannot parse the query may leave the question out of an error reply.
+    """
+    if reply.number != query_id:
         return False
     if reply.question is None:
         return reply.code in (dns.FORMERR, dns.NOTIMP, dns.SERVFAIL, dns.REFUSED)
-    return reply.question[1] == ask.kind and dns.fold(reply.question[0]) == dns.fold(ask.name)
+    return reply.question[1] == question.kind and dns.fold(reply.question[0]) == dns.fold(question.name)
--- a/aspenrill/resolver/lookup.py
+++ b/aspenrill/resolver/lookup.py
@@ -1,7 +1,7 @@
-"""One look-up from its first question to its end, as a generator that does no I/O.
+"""The logic of one look-up, as a generator that does no I/O.
 
-It yields an `Ask` and is sent what came of it, with the time; it returns what was found. A caller with
-sockets, and a test on a virtual clock, drive the same lines.
+It yields each `Question`, is sent its `Outcome`, which holds the time, and returns a `LookupResult`. The
+client with its sockets and the tests with a virtual clock run the same code.
 """
 
 from __future__ import annotations
@@ -13,43 +13,43 @@
 from .cache import negative_ttl
 from .servers import Server, Servers
 
-MOST_CHAIN = 8  # CNAMEs followed in one look-up
-ROUNDS = 2  # how often each server is asked one question
+MAX_ALIASES = 8  # CNAMEs followed in one look-up
+ATTEMPTS_PER_SERVER = 2  # for one question
 
 
 @dataclass(frozen=True, slots=True)
 class Patience:
-    """Seconds: for one question, and for a look-up with all its questions."""
+    """Seconds allowed for one question, and for a look-up with all its questions."""
 
     question: float = 1.0
     lookup: float = 5.0
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A question to be put to one server, by datagram or stream, and answered by `until`."""
+class Question:
+    """A question for one server, over UDP or TCP (`stream`), to be answered by `deadline`."""
 
     server: Server
     stream: bool
     name: dns.Name
     kind: int
-    payload: int  # of EDNS(0); 0: without
-    until: float
+    payload: int  # EDNS(0) payload size; 0: no EDNS
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """What came of it: a reply to just this question, or none and why. `doubtful`: many others came."""
+class Outcome:
+    """The reply to a question, or None and the reason. `spoofing_suspected`: many unrelated replies came."""
 
     now: float
     reply: dns.Reply | None
     why: str = ""
-    doubtful: bool = False
+    spoofing_suspected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """The end of a look-up: code NOERROR or NXDOMAIN, records of the kind asked for, lifetime in seconds."""
+class LookupResult:
+    """The result of a look-up: code NOERROR or NXDOMAIN, records of the requested kind, TTL in seconds."""
 
     code: int
     records: tuple[dns.Record, ...]
@@ -57,110 +57,114 @@
 
 
 class Failed(Exception):
-    """A look-up without an answer; the text says why."""
+    """A look-up got no answer; the text gives the reason."""
 
 
-Steps = Generator[Ask, Heard, Found]
+LookupSteps = Generator[Question, Outcome, LookupResult]
 
 
-def look_up(now: float, name: dns.Name, kind: int, servers: Servers, patience: Patience) -> Steps:
-    """Ask for records of a kind under a name, following CNAMEs (RFC 1034, 5.3.3)."""
-    until, seen, ttl = now + patience.lookup, [dns.fold(name)], float("inf")
+def lookup_steps(now: float, name: dns.Name, kind: int, servers: Servers, timeouts: Patience) -> LookupSteps:
+    """Look up the records of a kind under a name, following CNAMEs (RFC 1034, 5.3.3)."""
+    deadline, seen, ttl = now + timeouts.lookup, [dns.fold(name)], float("inf")
     while True:
-        reply, now = yield from _question(now, name, kind, servers, patience, until)
-        end, rows, life = follow(reply, name, kind, seen)
-        ttl = min(ttl, life)
-        if rows:
-            return Found(dns.NOERROR, rows, min([ttl, *(row.ttl for row in rows)]))
+        reply, now = yield from _query_servers(now, name, kind, servers, timeouts, deadline)
+        end, records, alias_ttl = follow_aliases(reply, name, kind, seen)
+        ttl = min(ttl, alias_ttl)
+        if records:
+            return LookupResult(dns.NOERROR, records, min([ttl, *(row.ttl for row in records)]))
         if reply.code == dns.NXDOMAIN or dns.fold(end) == dns.fold(name) or _has_soa(reply):
-            return Found(reply.code, (), min(ttl, negative_ttl(reply.authority)))
-        name = end  # the answer stopped at an alias: what is behind it is asked for itself
+            return LookupResult(reply.code, (), min(ttl, negative_ttl(reply.authority)))
+        name = end  # the answer ended at an alias: its target needs a question of its own
 
 
-def follow(
+def follow_aliases(
     reply: dns.Reply,
     name: dns.Name,
     kind: int,
     seen: list[dns.Name],
 ) -> tuple[dns.Name, tuple[dns.Record, ...], float]:
-    """Where the aliases of an answer lead from `name`, the records of the kind there, the aliases' lifetime.
+    """Follow the aliases in an answer; return the last name, its records of the kind, and the aliases' TTL.
 
-    Only records of the answer section that stand under the name or its aliases count. `seen` holds the folded
-    names of the chain so far and is added to. Failed where the chain is a circle or too long.
+    Only records of the answer section that are under the name or its aliases count. `seen` holds the folded
+    names of the chain so far and is extended. Raises Failed if the chain is circular or too long.
     """
     aliases: dict[dns.Name, dns.Record] = {}
-    rows: dict[dns.Name, list[dns.Record]] = {}
+    records: dict[dns.Name, list[dns.Record]] = {}
     for record in reply.records:
         if record.kind == dns.CNAME and kind != dns.CNAME:
             aliases.setdefault(dns.fold(record.name), record)
         elif record.kind == kind:
-            found = rows.setdefault(dns.fold(record.name), [])
-            found.append(record)
+            same_name = records.setdefault(dns.fold(record.name), [])
+            same_name.append(record)
     ttl = float("inf")
-    while (at := dns.fold(name)) in aliases and at not in rows:
-        name, ttl = aliases[at].data, min(ttl, aliases[at].ttl)
+    while (current := dns.fold(name)) in aliases and current not in records:
+        name, ttl = aliases[current].data, min(ttl, aliases[current].ttl)
         if dns.fold(name) in seen:
             raise Failed(f"aliases in a circle at {dns.text_of(name)}")
         seen.append(dns.fold(name))
-        if len(seen) > MOST_CHAIN + 1:
-            raise Failed(f"more than {MOST_CHAIN} aliases")
-    unique = {record.data: record for record in rows.get(dns.fold(name), ())}
+        if len(seen) > MAX_ALIASES + 1:
+            raise Failed(f"more than {MAX_ALIASES} aliases")
+    unique = {record.data: record for record in records.get(dns.fold(name), ())}
     return name, tuple(unique.values()), ttl
 
 
-def _question(
+def _query_servers(
     now: float,
     name: dns.Name,
     kind: int,
     servers: Servers,
-    patience: Patience,
-    until: float,
-) -> Generator[Ask, Heard, tuple[dns.Reply, float]]:
-    """One question, put to one server after another until one has an answer of use."""
+    timeouts: Patience,
+    deadline: float,
+) -> Generator[Question, Outcome, tuple[dns.Reply, float]]:
+    """Send one question to one server after another until one returns a usable answer."""
     tried: list[Server] = []
-    while now < until and len(tried) < ROUNDS * len(servers.all):
-        server = servers.next(now, tried)
+    while now < deadline and len(tried) < ATTEMPTS_PER_SERVER * len(servers.all):
+        server = servers.choose(now, tried)
         tried.append(server)
-        began, stream = now, False
-        wait = servers.wait(server, patience.question)
+        sent_at, stream = now, False
+        reply_timeout = servers.reply_timeout(server, timeouts.question)
         while True:
             payload = dns.PAYLOAD if server.edns else 0
-            heard = yield Ask(server, stream, name, kind, payload, min(until, now + wait))
-            now, reply = heard.now, heard.reply
+            outcome = yield Question(server, stream, name, kind, payload, min(deadline, now + reply_timeout))
+            now, reply = outcome.now, outcome.reply
             if reply is None:
-                if heard.doubtful and not stream and now < until:
-                    stream, wait = True, patience.question  # who forges datagrams is not within a stream
+                if outcome.spoofing_suspected and not stream and now < deadline:
+                    stream, reply_timeout = True, timeouts.question  # an off-path attacker cannot forge TCP
                     continue
                 break
             if reply.code in (dns.FORMERR, dns.NOTIMP) and server.edns:
-                server.edns = False  # RFC 6891, 7: asked again without
+                server.edns = False  # RFC 6891, 7: retry without EDNS
             elif reply.truncated and not stream:
-                stream, wait = True, patience.question
+                stream, reply_timeout = True, timeouts.question
             else:
                 break
-            if now >= until:
+            if now >= deadline:
                 break
-        why = heard.why or "too late" if reply is None else usable(reply)
+        why = outcome.why or "too late" if reply is None else reply_fault(reply)
         if not why:
-            servers.good(server, now, now - began)
+            servers.record_success(server, now, now - sent_at)
             return reply, now
-        servers.bad(server, now, why)
+        servers.record_failure(server, now, why)
     if not tried:
         raise Failed("out of time")
     raise Failed(
-        "; ".join(dict.fromkeys(f"{server.address[0]}:{server.address[1]} {server.why}" for server in tried))
+        "; ".join(
+            dict.fromkeys(
+                f"{server.address[0]}:{server.address[1]} {server.last_failure}" for server in tried
+            )
+        )
     )
 
 
-def usable(reply: dns.Reply) -> str:
-    """What is wrong with a reply as an answer; nothing where it is one, also of "there is none"."""
+def reply_fault(reply: dns.Reply) -> str:
+    """Return why a reply is no usable answer, or "" if it is one; a negative answer is usable."""
     if reply.code not in (dns.NOERROR, dns.NXDOMAIN):
         return f"answers with code {reply.code}"
     if reply.truncated:
         return "answer cut short on a stream"
-    refers = not reply.authoritative and any(record.kind == dns.NS for record in reply.authority)
-    if reply.code == dns.NOERROR and not reply.records and refers and not _has_soa(reply):
-        return "refers to others"  # a server that does not look up for us knows nothing of the list
+    is_referral = not reply.authoritative and any(record.kind == dns.NS for record in reply.authority)
+    if reply.code == dns.NOERROR and not reply.records and is_referral and not _has_soa(reply):
+        return "refers to others"  # a server without recursion does not know the records
     return ""
 
 
--- a/aspenrill/roster/__init__.py
+++ b/aspenrill/roster/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of engines comes from."""
+"""Engine discovery: watchers of the bulletin, of SRV records and of DNS-SD services."""
--- a/aspenrill/roster/bulletin.py
+++ b/aspenrill/roster/bulletin.py
@@ -1,20 +1,22 @@
-"""Follows the bulletin: every event after the last one, over a connection that is never silent for long.
+"""Reads the bulletin: receives every event after the last one, over a connection that is never idle for long.
 
-An event counts as told 7 s after it at the latest, whether it came or not, and a send may begin until half a
-second later. What can lie between an event and the moment when nothing more is sent to an engine that drains,
-each of these once, and at each dial one connection that never comes up and one that comes up late:
+An event counts as known 7 s after it at the latest, whether it was received or not, and an attempt may begin
+until half a second later. The time between an event and the last attempt sent to a draining engine consists
+at most of these delays, each occurring once; each dial may meet one connection that is never established and
+one that is established late:
 
-    the open connection falls silent                SILENT                      1.3 s
-    one dial is lost, the next comes up late        BESIDE + 1.5 s              2.0
-    the new connection is mute                      SILENT                      1.3
-    one dial is lost, the next comes up late        BESIDE + 1.5 s              2.0
-    the event is read, and waits for the owner      as the program is behind    0.9 are left of 7.5
+    the open connection falls silent                    READ_TIMEOUT                1.3 s
+    one dial is lost, the next one succeeds late        SECOND_DIAL_DELAY + 1.5 s   2.0
+    the new connection sends nothing                    READ_TIMEOUT                1.3
+    one dial is lost, the next one succeeds late        SECOND_DIAL_DELAY + 1.5 s   2.0
+    the event is read and waits for the owner           event loop lag              0.9 remain of 7.5
 
-A move (SIGHUP) ends whatever of these goes on and begins with a dial, so it takes the place of a silence. A
-frame that is half read then is told again: the number of the last whole event is what is asked with. An event
-repeated as the first on a new connection costs nothing where what follows is next in line. News wait in the
-owner's queue behind at most what came in the same round, which is part of what the program is behind. Where
-discovery is down it may return between two dials: BREATH if it refuses, CONNECT_FOR if it says nothing.
+A change of address (SIGHUP) ends whichever of these is in progress and begins with a dial, so it takes the
+place of a silence. A frame that is half read at that moment is sent again, because the request names the
+number of the last complete event. An event repeated as the first one on a new connection causes no reconnect
+if the next number follows. Updates wait in the owner's queue behind at most those that arrived in the same
+round of the event loop, which is part of the event loop lag. If discovery is down, it may return between two
+dials: RECONNECT_INTERVAL if it refuses connections, CONNECT_TIMEOUT if it does not respond.
 """
 
 from __future__ import annotations
@@ -32,97 +34,108 @@
 from ..wire import bulletin as wire
 from .dial import Dialer
 
-SILENT = 1.3  # seconds: it speaks each second, the rest is for the way; an own stall is none (`Hub.round`)
-LONGER = 2  # times SILENT that the next connection gets after one that was mute: all may be that late
-PIECE = 128 * wire.RECORD.size  # bytes of a list that is not kept, at a time
-BREATH = 0.1  # seconds between tries where none comes up
+# Seconds. The bulletin sends a frame each second, the remaining time covers the network. A stall of this
+# program's own event loop does not count as silence (`Hub.round`).
+READ_TIMEOUT = 1.3
+# Multiple of READ_TIMEOUT for the connection after one that sent nothing: every first frame may be late.
+SLOW_START_FACTOR = 2
+CHUNK_BYTES = 128 * wire.RECORD.size  # read at a time of a list that is too long to keep
+RECONNECT_INTERVAL = 0.1  # seconds between connection attempts
 
 
-class Bulletin:
-    """Posts each event once and in order."""
+class BulletinWatcher:
+    """Passes each event of the bulletin to `on_update`, once and in order."""
 
     def __init__(
-        self, hub: Hub, address: tuple[str, int], last: int, post: Callable[[News], None], most: int = 100_000
+        self,
+        hub: Hub,
+        address: tuple[str, int],
+        last_event: int,
+        on_update: Callable[[News], None],
+        max_engines: int = 100_000,
     ) -> None:
-        self.hub, self.address, self.last, self.post = hub, address, last, post
-        self.most = most  # engines that a list may name: of a longer one only who leaves is passed on
+        self.hub, self.address, self.last_event, self.on_update = hub, address, last_event, on_update
+        self.max_engines = max_engines  # in a list; of a longer one only draining and gone engines are used
         self.task: Task | None = None
         self.dialer = Dialer(hub)
-        self.patience = SILENT  # seconds until the first word of the next connection
-        self.doubted = -1  # the last event, when another repeated had brought nothing new and was asked about
+        self.first_read_timeout = READ_TIMEOUT  # seconds, of the next connection
+        self.rechecked_event = -1  # the last event when a repetition of it last caused a reconnect
 
     def start(self) -> None:
-        """Follow it in a task of its own."""
+        """Start a task that receives the events."""
         self.task = self.hub.spawn(self.run, name="bulletin")
 
     def move(self, address: tuple[str, int]) -> None:
-        """It is elsewhere from now on: the old one is dropped, and the new one asked from the last number."""
+        """Switch to a bulletin at another address, and request the events after the last one from it."""
         if address != self.address:
-            self.address, self.patience = address, SILENT
-            self.task.interrupt(Closed("it has moved"))
+            self.address, self.first_read_timeout = address, READ_TIMEOUT
+            self.task.interrupt(Closed("its address has changed"))
 
     def run(self) -> None:
-        """Connect, follow, and connect again whenever it breaks, falls silent, repeats itself or moves."""
+        """Connect and read events; reconnect after an error, a silence, a repeated event or a new address."""
         self.dialer.reserve()
         while True:
-            began, asked = time.monotonic(), self.address
+            started_at, address = time.monotonic(), self.address
             try:
                 try:
                     self._follow()
                 except (Closed, TimedOut, Refused, Malformed) as why:
-                    self.hub.log(f"bulletin: {type(why).__name__} {why}; asking again from event {self.last}")
+                    self.hub.log(
+                        f"bulletin: {type(why).__name__} {why}; reconnecting after event {self.last_event}"
+                    )
                 except Exception:
-                    self.hub.report("bulletin, asking again", traceback.format_exc())
-                if asked == self.address and time.monotonic() < began + BREATH:
-                    self.hub.sleep(BREATH)
-            except Closed:  # it moved while none came up
+                    self.hub.report("bulletin, reconnecting", traceback.format_exc())
+                if address == self.address and time.monotonic() < started_at + RECONNECT_INTERVAL:
+                    self.hub.sleep(RECONNECT_INTERVAL)
+            except Closed:  # the address changed while no connection was established
                 continue
 
-    def _leaving(self, conn: Connection, size: int, number: int, kind: int) -> None:
-        """Who drains or is gone, of a list too long to keep: nothing new may go there."""
+    def _publish_leaving(self, conn: Connection, size: int, number: int, kind: int) -> None:
+        """Publish the draining and gone engines of a list too long to keep: they must get no new attempts."""
         while size:
-            piece = conn.read(min(size, PIECE), time.monotonic() + SILENT)
-            size -= len(piece)
-            told = wire.frame_news(number, kind, piece).members
-            if leaving := tuple(m for m in told if m.state is not EngineState.LIVE):
-                self.post(News(number, False, leaving))
+            chunk = conn.read(min(size, CHUNK_BYTES), time.monotonic() + READ_TIMEOUT)
+            size -= len(chunk)
+            members = wire.frame_news(number, kind, chunk).members
+            if leaving := tuple(m for m in members if m.state is not EngineState.LIVE):
+                self.on_update(News(number, False, leaving))
 
     def _follow(self) -> None:
-        conn = self.dialer.up(self.address)
-        patience, said, fresh, doubt = self.patience, False, True, False
+        conn = self.dialer.dial(self.address)
+        first_read_timeout, received_any, no_new_event, repeated = self.first_read_timeout, False, True, False
         try:
-            conn.write(wire.greeting(self.last), time.monotonic() + SILENT)
+            conn.write(wire.greeting(self.last_event), time.monotonic() + READ_TIMEOUT)
             while True:
-                until = time.monotonic() + patience
-                size, number, kind = wire.frame_head(conn.read(wire.HEAD.size, until))
-                if (count := wire.engines_in(size)) > self.most:
+                deadline = time.monotonic() + first_read_timeout
+                size, number, kind = wire.frame_head(conn.read(wire.HEAD.size, deadline))
+                if (count := wire.engines_in(size)) > self.max_engines:
                     self.hub.log(
-                        f"bulletin: a list of {count} engines refused, memory allows {self.most}; "
-                        "the last one stays"
+                        f"bulletin: a list of {count} engines refused, memory allows {self.max_engines}; "
+                        "the previous list stays in use"
                     )
-                    self._leaving(conn, size, number, kind)
-                    self.last = max(self.last, number)
+                    self._publish_leaving(conn, size, number, kind)
+                    self.last_event = max(self.last_event, number)
                     continue
-                news = wire.frame_news(number, kind, conn.read(size, until))
-                patience = self.patience = SILENT
-                said = True
+                news = wire.frame_news(number, kind, conn.read(size, deadline))
+                first_read_timeout = self.first_read_timeout = READ_TIMEOUT
+                received_any = True
                 if news is None:
-                    if doubt and self.doubted != self.last:
-                        self.doubted = self.last  # once: some begin with the event that they are asked with
-                        raise Malformed(f"nothing after event {self.last} again")
+                    if repeated and self.rechecked_event != self.last_event:
+                        # Reconnect once only: some bulletins begin with the requested event.
+                        self.rechecked_event = self.last_event
+                        raise Malformed(f"only event {self.last_event} again, nothing after it")
                     continue
-                if number <= self.last:
-                    if not fresh:
-                        raise Malformed(f"event {number} again")  # what follows may be missing: ask anew
-                    doubt = True  # ask anew unless the next in line follows
+                if number <= self.last_event:
+                    if not no_new_event:
+                        raise Malformed(f"event {number} again")  # the next event may be missing: reconnect
+                    repeated = True  # reconnect unless the next event follows
                     continue
-                if number != self.last + 1 and not news.whole:
-                    raise Malformed(f"event {number} after {self.last}")
-                self.last, fresh, doubt = number, False, False
-                self.post(news)
+                if number != self.last_event + 1 and not news.whole:
+                    raise Malformed(f"event {number} after {self.last_event}")
+                self.last_event, no_new_event, repeated = number, False, False
+                self.on_update(news)
         except TimedOut:
-            if not said:
-                self.patience = LONGER * SILENT
+            if not received_any:
+                self.first_read_timeout = SLOW_START_FACTOR * READ_TIMEOUT
             raise
         finally:
             conn.close()
--- a/aspenrill/roster/dial.py
+++ b/aspenrill/roster/dial.py
@@ -1,9 +1,9 @@
-"""A connection to discovery although some come up late and some never, and although descriptors run out.
+"""Connects to discovery when some connections are established late or never, or file descriptors run out.
 
-A dial ends after CONNECT_FOR; one that is not up after BESIDE gets a second beside it, and the first to come
-up is kept. So one that comes up late (up to 1.5 s) is waited for, one that never does costs BESIDE, and there
-are never more than two, however long discovery is down. While none is up one descriptor is kept back, and a
-dial has it: clients and engines may hold all others.
+A dial times out after CONNECT_TIMEOUT. One that has not succeeded after SECOND_DIAL_DELAY gets a second one
+in parallel, and the first to succeed is kept. So a late connection (up to 1.5 s) is waited for, a lost one
+costs SECOND_DIAL_DELAY, and there are never more than two dials, however long discovery is down. While there
+is no connection, one descriptor is reserved for the next dial: clients and engines may use up all others.
 """
 
 from __future__ import annotations
@@ -16,68 +16,68 @@
 from ..net.connecting import Refused, connect
 from ..net.hub import Closed, Hub, Queue, TimedOut
 
-CONNECT_FOR = 1.6  # seconds; the latest connection that does come up takes 1.5
-BESIDE = 0.5  # seconds after which a second dial begins
+CONNECT_TIMEOUT = 1.6  # seconds; the slowest successful connection takes 1.5
+SECOND_DIAL_DELAY = 0.5  # seconds
 
 
 class Dialer:
-    """Dials for one task at a time."""
+    """Establishes one connection at a time, with up to two parallel dials and a reserved file descriptor."""
 
     def __init__(self, hub: Hub) -> None:
         self.hub = hub
-        self._spare: int | None = None
+        self._reserved_fd: int | None = None
 
     def reserve(self) -> None:
-        """Keep a descriptor back, where one is left; at once when one has been closed it is."""
-        if self._spare is None:
+        """Reserve a descriptor if one is free; directly after a close there is one."""
+        if self._reserved_fd is None:
             with contextlib.suppress(OSError):
-                self._spare = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
+                self._reserved_fd = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
 
     def release(self) -> None:
-        """Let it go."""
-        if self._spare is not None:
-            spare, self._spare = self._spare, None
-            os.close(spare)
+        """Close the reserved descriptor."""
+        if self._reserved_fd is not None:
+            reserved_fd, self._reserved_fd = self._reserved_fd, None
+            os.close(reserved_fd)
 
-    def up(self, address: tuple[str, int]) -> Connection:
-        """A connection within BESIDE + CONNECT_FOR seconds, or Refused; nothing else of it stays open.
+    def dial(self, address: tuple[str, int]) -> Connection:
+        """Return a connection within SECOND_DIAL_DELAY + CONNECT_TIMEOUT seconds, or raise Refused.
 
-        Raises what interrupts the calling task (Closed).
+        The other dial is closed. Raises whatever interrupts the calling task (Closed).
         """
-        came, tasks, over = Queue(self.hub), [], False
+        results, tasks, finished = Queue(self.hub), [], False
 
-        def one() -> None:
-            self.release()  # the socket of this dial takes its place: nobody runs in between
+        def connect_once() -> None:
+            self.release()  # for the socket of this dial; no other task runs in between
             try:
-                end = connect(self.hub, address, time.monotonic() + CONNECT_FOR)
+                result = connect(self.hub, address, time.monotonic() + CONNECT_TIMEOUT)
             except Refused as why:
-                end = why
-                if not over:
+                result = why
+                if not finished:
                     self.reserve()
-            except Exception as why:  # what the system says of a socket is no reason to stop for good
-                end = Refused(str(why))
-            if not over:
-                came.put(end)
-            elif isinstance(end, Connection):
-                end.close()
+            except Exception as why:  # an error of the operating system must not end the watch
+                result = Refused(str(why))
+            if not finished:
+                results.put(result)
+            elif isinstance(result, Connection):
+                result.close()
 
         try:
-            tasks.append(self.hub.spawn(one, name="dial"))
+            tasks.append(self.hub.spawn(connect_once, name="dial"))
             try:
-                end = came.get(BESIDE)
+                result = results.get(SECOND_DIAL_DELAY)
             except TimedOut:
-                tasks.append(self.hub.spawn(one, name="dial"))
-                end = came.get()
-                if isinstance(end, Refused):
-                    end = came.get()
-            if isinstance(end, Refused):
-                raise end
+                tasks.append(self.hub.spawn(connect_once, name="dial"))
+                result = results.get()
+                if isinstance(result, Refused):
+                    result = results.get()
+            if isinstance(result, Refused):
+                raise result
             self.release()
-            return end
+            return result
         finally:
-            over = True
+            finished = True
             for task in tasks:
-                task.interrupt(Closed("no longer wanted"))
-            for left in came.items:
-                if isinstance(left, Connection):
-                    left.close()
+                task.interrupt(Closed("no longer needed"))
+            for leftover in results.items:
+                if isinstance(leftover, Connection):
+                    leftover.close()
--- a/aspenrill/roster/srv.py
+++ b/aspenrill/roster/srv.py
@@ -1,4 +1,4 @@
-"""Engines by SRV records (RFC 2782): one for each address of each target."""
+"""Engines by SRV records (RFC 2782): one engine for each address of each target."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from ..net.hub import Hub
 from ..resolver.client import Resolver
 from ..wire import dns
-from .follower import Follower, Sink
+from .watcher import DnsWatcher, Sink
 
 
-class Srv(Follower):
-    """Follows the SRV records of one name. They tell neither kind nor zone: both are configured."""
+class Srv(DnsWatcher):
+    """Watches the SRV records of one name. They carry neither kind nor zone: both are configured."""
 
     def __init__(
         self,
@@ -28,13 +28,13 @@
         super().__init__(hub, name, resolver, service, family, sink)
         self.kind, self.zone, self.priority = kind, zone, priority
 
-    def look(self, anew: bool) -> tuple[list[Member], float, float]:
-        """As `Follower.look`; a target of "." says that there is no engine (RFC 2782, Target)."""
-        answer = self.main(dns.SRV, anew)
-        rows = [record.data for record in answer.records if record.data[3] and record.data[2]]
-        hosts, until = self.addresses([target for *_, target in rows])
+    def poll(self, bypass_cache: bool) -> tuple[list[Member], float, float]:
+        """See `DnsWatcher.poll`. A target of "." means that there is no engine (RFC 2782, Target)."""
+        answer = self.lookup_service(dns.SRV, bypass_cache)
+        records = [record.data for record in answer.records if record.data[3] and record.data[2]]
+        hosts, refresh_at = self.resolve_targets([target for *_, target in records])
         members = []
-        for priority, weight, port, target in rows:
+        for priority, weight, port, target in records:
             text = dns.text_of(target).rstrip(".").lower() + f":{port}"
             several = len(hosts.get(target, ())) > 1
             for host in hosts.get(target, ()):
@@ -49,4 +49,4 @@
                         weight=float(weight),
                     )
                 )
-        return members, answer.learned, min(until, answer.refresh)
+        return members, answer.learned_at, min(refresh_at, answer.refresh_at)
--- a/aspenrill/sources.py
+++ b/aspenrill/sources.py
@@ -31,7 +31,7 @@
 
     name: str
     servers: tuple[tuple[str, int], ...]
-    patience: Patience
+    timeouts: Patience
     lifetimes: Lifetimes
 
 
@@ -97,7 +97,7 @@
         most,
         row.number("negative_ttl_s", 300, 0.1, DAY),
         row.number("stale_s", DAY, 0, 30 * DAY),
-        entries=int(row.number("entries", 8192, 16, 1 << 20)),
+        max_entries=int(row.number("entries", 8192, 16, 1 << 20)),
     )
     row.end()
     return ResolverSpec(name, tuple(servers), Patience(question, lookup), lifetimes)
--- a/tests/lookups.py
+++ b/tests/lookups.py
@@ -1,10 +1,10 @@
-"""Look-ups played on a virtual clock: `drive` runs one against a world of answers."""
+"""Look-ups on a virtual clock: `run_lookup` runs one against scripted replies."""
 
 from __future__ import annotations
 
 import random
 
-from aspenrill.resolver.lookup import Failed, Heard
+from aspenrill.resolver.lookup import Failed, Outcome
 from aspenrill.resolver.servers import Servers
 from aspenrill.wire import dns as wire
 
@@ -13,24 +13,34 @@
     return wire.Record(wire.name_of(name), kind, ttl, data)
 
 
-def drive(steps, world, now=0.0):
-    """Play a look-up: `world` says how long each question takes and what comes of it."""
-    asks = []
+def run_lookup(steps, world, now=0.0):
+    """Run a look-up; `world` returns for each question how long it takes and its reply."""
+    questions = []
     try:
-        ask = next(steps)
+        question = next(steps)
         while True:
-            asks.append((now, ask.server.address[1], ask.stream, wire.text_of(ask.name), ask.payload > 0))
-            took, reply = world(now, ask)
-            now = min(now + took, ask.until)
-            ask = steps.send(Heard(now, reply, "" if reply else "no answer in time"))
+            questions.append(
+                (
+                    now,
+                    question.server.address[1],
+                    question.stream,
+                    wire.text_of(question.name),
+                    question.payload > 0,
+                )
+            )
+            elapsed_s, reply = world(now, question)
+            now = min(now + elapsed_s, question.deadline)
+            question = steps.send(Outcome(now, reply, "" if reply else "no answer in time"))
     except StopIteration as end:
-        return end.value, asks, now
+        return end.value, questions, now
     except Failed as why:
-        return why, asks, now
+        return why, questions, now
 
 
-def reply_of(ask, *rows, code=0, authority=(), **more):
-    return wire.Reply(1, code, more.pop("truncated", False), (ask.name, ask.kind), rows, authority, **more)
+def reply_of(question, *rows, code=0, authority=(), **more):
+    return wire.Reply(
+        1, code, more.pop("truncated", False), (question.name, question.kind), rows, authority, **more
+    )
 
 
 def servers(count=3):
--- a/tests/merged.py
+++ b/tests/merged.py
@@ -37,7 +37,10 @@
         self.hub, self.engines = self.world.hub, self.world.engines
         self.server = NameServer(self.hub)
         self.resolver = config.ResolverSpec(
-            "main", (self.server.address,), Patience(0.2, 0.5), Lifetimes(least=0.1, early=(0.5, 0.6))
+            "main",
+            (self.server.address,),
+            Patience(0.2, 0.5),
+            Lifetimes(min_ttl=0.1, refresh_window=(0.5, 0.6)),
         )
         rows = {
             "bulletin": ROSTER,
@@ -51,7 +54,7 @@
         self.gathering = Gathering(self.hub, self.sources, ("std",), self.world.node.post)
 
     def roster(self, *rows, whole: bool = False) -> None:
-        (self.gathering.roster.told if whole else self.gathering.roster.changed)("roster", rows)
+        (self.gathering.roster.on_list if whole else self.gathering.roster.on_changes)("roster", rows)
 
     def srv(self, *engines, ttl: int = 1, **more) -> None:
         self.server.srv(
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -1,4 +1,4 @@
-"""Where the list of engines comes from: the bulletin's frames, and what TXT records tell."""
+"""Engine discovery: the watcher of the bulletin, and the properties in TXT records."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from aspenrill.net.conn import Connection
 from aspenrill.net.hub import Hub
 from aspenrill.net.listener import Listener
-from aspenrill.roster import bulletin as follower
+from aspenrill.roster import bulletin as bulletin_watcher
 from aspenrill.roster.dnssd import properties
 from aspenrill.wire import bulletin
 from standins import world
 from standins.scene import play
 
 
-def until(hub: Hub, true, within: float = 8.0) -> None:
+def until(hub: Hub, condition, within: float = 8.0) -> None:
     end = time.monotonic() + within
-    while not true():
+    while not condition():
         assert time.monotonic() < end, "did not come true in time"
         hub.sleep(0.01)
 
@@ -36,9 +36,9 @@
 RECORD = struct.pack(">I4sHBBBHIQ", 1, bytes([127, 0, 0, 1]), 80, 1, 0, 0, 0, 1000, 0)
 
 
-def test_the_bulletin_is_followed_from_the_last_event_over_silence_breaks_and_gaps(monkeypatch):
-    # news of a drain must not be missed by a connection that has fallen silent, nor be told twice
-    monkeypatch.setattr(follower, "SILENT", 0.3)
+def test_the_bulletin_is_resumed_after_the_last_event_despite_silence_disconnects_and_gaps(monkeypatch):
+    # a drain must neither be missed because a connection has fallen silent nor be reported twice
+    monkeypatch.setattr(bulletin_watcher, "READ_TIMEOUT", 0.3)
     hub, greetings, news = Hub(lambda text: None), [], []
     says = [
         frame(5, 2, RECORD) + frame(5, 0),
@@ -56,14 +56,14 @@
         hub.sleep(1.0)
 
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "bulletin")
-    hub.spawn(follower.Bulletin(hub, listener.address, 4, news.append).run)
+    hub.spawn(bulletin_watcher.BulletinWatcher(hub, listener.address, 4, news.append).run)
     play(hub, lambda: until(hub, lambda: len(news) == 3))
     assert [n.number for n in news] == [5, 6, 9] and news[0].members[0].state is EngineState.DRAINING
     assert greetings[:5] == [4, 5, 5, 5, 6]
 
 
-def test_a_repeat_makes_it_ask_again_at_once():
-    # a bulletin that tells an event twice may have left out the one that belongs there
+def test_a_repeated_event_causes_a_reconnect_at_once():
+    # a bulletin that sends an event twice may have left out the next one
     hub, greetings, news = Hub(lambda text: None), [], []
 
     def serve(conn: Connection) -> None:
@@ -73,13 +73,13 @@
         hub.sleep(5)
 
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "bulletin")
-    follower.Bulletin(hub, listener.address, 4, news.append).start()
+    bulletin_watcher.BulletinWatcher(hub, listener.address, 4, news.append).start()
     play(hub, lambda: until(hub, lambda: len(news) == 2, 2))
     assert greetings == [4, 5] and [n.number for n in news] == [5, 6]
 
 
-def test_a_bulletin_that_moves_is_asked_at_once_with_the_numbers_going_on():
-    # the old one tells nothing any more: what it had to tell would be missed until it closes
+def test_a_new_bulletin_address_is_used_at_once_and_resumed_after_the_last_event():
+    # the old bulletin sends nothing more; without the move its events would be missed until it closes
     hub, asked, news = Hub(lambda text: None), [], []
 
     def serving(name: str):
@@ -92,7 +92,7 @@
         return Listener(hub, ("127.0.0.1", 0), serve, 10, name)
 
     old, new = serving("old"), serving("new")
-    bulletin_ = follower.Bulletin(hub, old.address, 4, news.append)
+    bulletin_ = bulletin_watcher.BulletinWatcher(hub, old.address, 4, news.append)
     bulletin_.start()
 
     def scene():
@@ -100,7 +100,7 @@
         bulletin_.move(new.address)
         until(hub, lambda: len(news) == 2, 1.0)
         until(hub, lambda: not old.connections, 1.0)
-        new.close()  # and it can move while none comes up
+        new.close()  # the address can also change while no connection is established
         for conn in list(new.connections):
             conn.close()
         hub.sleep(0.05)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    "texts, told",
+    "texts, expected",
     [
         ((), {}),
         (("kind=a", "KIND=b"), {"kind": "a"}),
@@ -120,13 +120,13 @@
         (("=x", "a=b=c"), {"a": "b=c"}),
     ],
 )
-def test_txt_properties(texts, told):
-    assert properties(texts) == told
+def test_txt_properties(texts, expected):
+    assert properties(texts) == expected
 
 
-def test_a_list_longer_than_memory_allows_is_passed_over_and_what_follows_is_heard():
-    # one line names the size; the connection, its numbers and the last list go on, and who drains is heard
-    hub, said, news = Hub(lambda text: said.append(text)), [], []
+def test_a_list_longer_than_memory_allows_is_skipped_and_later_events_are_processed():
+    # one log line names the size; connection, event numbers and last list stay, drains are still passed on
+    hub, logged, news = Hub(lambda text: logged.append(text)), [], []
     ready = struct.pack(">I4sHBBBHIQ", 2, bytes([127, 0, 0, 1]), 81, 0, 0, 0, 0, 1000, 0)
 
     def serve(conn: Connection) -> None:
@@ -135,24 +135,24 @@
         hub.sleep(2.0)
 
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "bulletin")
-    hub.spawn(follower.Bulletin(hub, listener.address, 4, news.append, 2048).run)
+    hub.spawn(bulletin_watcher.BulletinWatcher(hub, listener.address, 4, news.append, 2048).run)
     play(hub, lambda: until(hub, lambda: len(news) == 2))
     assert [n.number for n in news] == [5, 6] and not news[0].whole
     assert [m.state for m in news[0].members] == [EngineState.DRAINING]
-    assert len(said) == 1 and "3000 engines refused" in said[0] and "2048" in said[0]
+    assert len(logged) == 1 and "3000 engines refused" in logged[0] and "2048" in logged[0]
 
 
-def test_changes_beyond_what_memory_allows_add_no_engine_but_drain_those_that_are_known():
-    said = []
+def test_changes_beyond_what_memory_allows_add_no_engine_but_drain_known_ones():
+    logged = []
     engines = SimpleNamespace(retire=lambda peer: None)
-    owner = Owner(Hub(lambda text: said.append(text)), world.SETTINGS, 1, engines)
+    owner = Owner(Hub(lambda text: logged.append(text)), world.SETTINGS, 1, engines)
     owner.most_engines = 3
     members = [Member(f"e{i}", ("127.0.0.1", 80 + i), EngineState.LIVE) for i in range(5)]
     owner.take(News(1, True, tuple(members[:3])))
     draining = replace(members[0], state=EngineState.DRAINING)
     owner.take(News(2, False, (draining, members[3])))
     owner.take(News(3, True, tuple(members)))
-    assert set(owner.peers) == {"e0", "e1", "e2"} and len(said) == 2 and "list of 5 engines" in said[1]
-    assert len(owner.gateway.live) == 3  # and the whole list has brought e0 back
+    assert set(owner.peers) == {"e0", "e1", "e2"} and len(logged) == 2 and "list of 5 engines" in logged[1]
+    assert len(owner.gateway.live) == 3  # the complete list has brought e0 back
     owner.take(News(4, False, (draining,)))
     assert [e.entry.engine for e in owner.gateway.live] == ["e1", "e2"]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,6 +1,7 @@
-"""The watch on discovery through all that can go wrong with it, on real sockets and a clock of its own.
+"""The watchers of discovery under failures, on real sockets and a simulated clock.
 
-It moves on only where the program waits and no descriptor has news: verdicts don't hang on the machine.
+The clock advances only while the program waits and no descriptor is ready, so the results don't depend on the
+speed of the machine.
 """
 
 from __future__ import annotations
@@ -18,26 +19,27 @@
 from aspenrill.net.hub import Closed, Hub, TimedOut
 from aspenrill.net.listener import Listener
 from aspenrill.resolver.client import Resolver
-from aspenrill.roster import bulletin as follower
+from aspenrill.roster import bulletin as bulletin_watcher
 from aspenrill.roster import dial
 from aspenrill.roster.srv import Srv
 from aspenrill.wire import bulletin as wire
 from standins.scene import play
 from standins.world import Act, World
 
-TOLD, GRACE = 7.0, 0.5  # seconds: protocol, "Figures", and how long after that a send may begin
-SETTLE = 2.0  # milliseconds that the kernel gets to bring what was written
+UPDATE_TIMEOUT = 7.0  # seconds after which an update counts as known: protocol, "Figures"
+SEND_GRACE = 0.5  # seconds after that within which an attempt may still begin
+POLL_MS = 2.0  # milliseconds for the kernel to deliver written data
 
 
 class Poll:
-    """Descriptors as they are; where none has news, time moves on to the next timer."""
+    """Polls real descriptors; if none is ready, advances the clock to the next timer."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock, self.real = clock, select.poll()
         self.register, self.unregister = self.real.register, self.real.unregister
 
     def poll(self, timeout: float | None) -> list[tuple[int, int]]:
-        got = self.real.poll(min(SETTLE, timeout or 0))
+        got = self.real.poll(min(POLL_MS, timeout or 0))
         if not got and timeout:
             self.clock.now += timeout / 1000 + 1e-6
         return got
@@ -61,16 +63,16 @@
 
 
 class Discovery:
-    """A bulletin. By the number of the connection: mute from its start, or what it says first."""
+    """A bulletin server. Connections, by number, can be silent or send given bytes first."""
 
     def __init__(self, hub: Hub) -> None:
         self.hub, self.events, self.asked = hub, [], []
-        self.first: dict[int, bytes] = {}
-        self.mute: set[int] = set()
-        self.silent = -1  # connections up to this one say nothing any more
+        self.first_bytes: dict[int, bytes] = {}
+        self.silent_connections: set[int] = set()
+        self.silent_up_to = -1  # connections up to this number send nothing any more
         self.listener = Listener(hub, ("127.0.0.1", 0), self.serve, 500, "discovery")
 
-    def tell(self, port: int, state: int) -> None:
+    def publish(self, port: int, state: int) -> None:
         record = wire.RECORD.pack(0, b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, 0)
         number = len(self.events) + 2
         self.events.append(wire.HEAD.pack(len(record) + 9, number, wire.CHANGES) + record)
@@ -79,9 +81,9 @@
         me, spoke = len(self.asked), time.monotonic()
         last = struct.unpack(">Q", conn.read(8, time.monotonic() + 5))[0]
         self.asked.append(last)
-        out = self.first.get(me, b"")
+        out = self.first_bytes.get(me, b"")
         while True:
-            if self.silent < me and me not in self.mute:
+            if self.silent_up_to < me and me not in self.silent_connections:
                 out += b"".join(self.events[last - 1 :])
                 last = len(self.events) + 1
                 if not out and time.monotonic() >= spoke + 1:
@@ -92,23 +94,23 @@
             self.hub.sleep(0.02)
 
 
-class Dials:
-    """How connections to discovery come up: after so many seconds, or never (None); then all at once."""
+class ScriptedDials:
+    """Delays the connections to discovery by given seconds, None for ever; later ones succeed at once."""
 
     def __init__(self, monkeypatch) -> None:
-        self.fates: list[float | None] = []
+        self.delays: list[float | None] = []
         self.out = self.most = 0
         self.real = dial.connect
         monkeypatch.setattr(dial, "connect", self.connect)
 
     def connect(self, hub: Hub, address: tuple[str, int], until: float) -> Connection:
-        fate = self.fates.pop(0) if self.fates else 0.0
+        delay = self.delays.pop(0) if self.delays else 0.0
         self.out += 1
         self.most = max(self.most, self.out)
         try:
             left = until - time.monotonic()
-            hub.sleep(left if fate is None else min(fate, left))
-            if fate is None or fate > left:
+            hub.sleep(left if delay is None else min(delay, left))
+            if delay is None or delay > left:
                 raise Refused("no connection in time")
             return self.real(hub, address, until)
         except Closed:
@@ -117,56 +119,64 @@
             self.out -= 1
 
 
-LOST, LATE = None, 1.5
+NEVER = None
+SLOW_S = 1.5
 
 
 @pytest.mark.parametrize(
-    "fates, mute, first, moves",
+    "delays, silent_connections, first_bytes, move_at",
     [
-        ([LOST, LATE, LOST, LATE], {1}, {}, None),  # the worst sum of the module's docstring
-        ([LATE] * 6, {1}, {}, None),  # all come up late
-        ([LOST, LATE], {1}, {}, 4.7),  # moves while the new connection is mute
-        ([LOST, LATE, LOST, LATE], set(), {}, 3.0),  # moves in the middle of a dial
-        ([LOST, LATE], set(), {1: "again"}, None),  # says the last event once more, then what follows
-        ([LOST, LATE, LOST, LATE], {1}, {1: "half"}, None),  # half of the event, then nothing
+        (
+            [NEVER, SLOW_S, NEVER, SLOW_S],
+            {1},
+            {},
+            None,
+        ),  # the longest sum in the docstring of roster/bulletin.py
+        ([SLOW_S] * 6, {1}, {}, None),  # all are established late
+        ([NEVER, SLOW_S], {1}, {}, 4.7),  # the address changes while the new connection is silent
+        ([NEVER, SLOW_S, NEVER, SLOW_S], set(), {}, 3.0),  # the address changes during a dial
+        ([NEVER, SLOW_S], set(), {1: "again"}, None),  # repeats the last event, then sends the next one
+        ([NEVER, SLOW_S, NEVER, SLOW_S], {1}, {1: "half"}, None),  # half of the event, then nothing
     ],
 )
-def test_nothing_begins_at_a_draining_engine_after_the_grace(clock, monkeypatch, fates, mute, first, moves):
+def test_no_attempt_begins_at_a_draining_engine_after_the_grace(
+    clock, monkeypatch, delays, silent_connections, first_bytes, move_at
+):
     logged: list[str] = []
     hub = clock.hub(logged.append)
-    world, dials = World("thrift", hub=hub), Dials(monkeypatch)
+    world, scripted_dials = World("thrift", hub=hub), ScriptedDials(monkeypatch)
     world.logged = logged
     old, new = Discovery(hub), Discovery(hub)
-    watch = follower.Bulletin(hub, old.listener.address, 1, world.node.post)
-    watch.start()
+    watcher = bulletin_watcher.BulletinWatcher(hub, old.listener.address, 1, world.node.post)
+    watcher.start()
     port = world.engines[0].listener.address[1]
     for engine in world.engines:
         engine.act = lambda statement: Act(after=0.01)
-    drained, heard = [], []
+    drained, received = [], []
 
     def move() -> None:
-        old.silent = 10**6  # the old one tells nothing more
-        watch.move(new.listener.address)
+        old.silent_up_to = 10**6  # the old bulletin sends nothing more
+        watcher.move(new.listener.address)
 
     def scene() -> None:
         world.until(lambda: old.asked)
-        old.tell(port, 0)  # it takes work, as is known: the event that is told again
-        old.mute |= mute
+        old.publish(port, 0)  # the engine is live, as is known: this event is repeated later
+        old.silent_connections |= silent_connections
         hub.sleep(1.5)
-        assert watch.last == 2
-        old.silent, began = 0, time.monotonic()
-        dials.fates += fates
-        old.tell(port, 1)
+        assert watcher.last_event == 2
+        old.silent_up_to, began = 0, time.monotonic()
+        scripted_dials.delays += delays
+        old.publish(port, 1)
         new.events = old.events
-        words = {"again": old.events[0], "half": old.events[1][:20]}
-        old.first |= {number: words[what] for number, what in first.items()}
+        payloads = {"again": old.events[0], "half": old.events[1][:20]}
+        old.first_bytes |= {number: payloads[what] for number, what in first_bytes.items()}
         drained.append(began)
         client = world.client()
-        if moves is not None:
-            hub.timers.after(moves, move)
-        while time.monotonic() < began + TOLD + GRACE + 1:
-            if watch.last == 3 and not heard:
-                heard.append(time.monotonic() - began)
+        if move_at is not None:
+            hub.timers.after(move_at, move)
+        while time.monotonic() < began + UPDATE_TIMEOUT + SEND_GRACE + 1:
+            if watcher.last_event == 3 and not received:
+                received.append(time.monotonic() - began)
             assert client.ask("select 1", 5.0).kind == "served"
             hub.sleep(0.02)
 
@@ -174,13 +184,16 @@
     for one in (old, new):
         one.listener.close()
     begun = [[at - drained[0] for at, _ in engine.began] for engine in world.engines]
-    assert max(begun[0]) > 1.0  # work did go there as long as nothing was known
-    assert max(begun[0]) < TOLD + GRACE and heard and heard[0] < TOLD, (max(begun[0]), heard)
-    assert max(begun[1]) > TOLD + GRACE and dials.most <= 2
+    assert max(begun[0]) > 1.0  # attempts went there until the drain was known
+    assert max(begun[0]) < UPDATE_TIMEOUT + SEND_GRACE and received and received[0] < UPDATE_TIMEOUT, (
+        max(begun[0]),
+        received,
+    )
+    assert max(begun[1]) > UPDATE_TIMEOUT + SEND_GRACE and scripted_dials.most <= 2
 
 
-def full(backlog: list[socket.socket]) -> tuple[str, int]:
-    """The address of a listener that answers no further SYN, as a lost machine does."""
+def unresponsive_listener(backlog: list[socket.socket]) -> tuple[str, int]:
+    """Return the address of a listener that answers no further SYN, like a host that is down."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     backlog.append(listener)
     for _ in range(8):
@@ -191,20 +204,20 @@
     return listener.getsockname()
 
 
-def test_dials_do_not_pile_up_while_discovery_is_down_and_leave_nothing_open(clock):
+def test_dials_do_not_accumulate_while_discovery_is_down_and_leave_nothing_open(clock):
     hub, backlog = clock.hub(), []
-    watch = follower.Bulletin(hub, full(backlog), 1, lambda news: None)
+    watcher = bulletin_watcher.BulletinWatcher(hub, unresponsive_listener(backlog), 1, lambda news: None)
     counts = []
 
     def scene() -> None:
         before = len(os.listdir("/proc/self/fd"))
-        watch.start()
+        watcher.start()
         began = time.monotonic()
         while time.monotonic() < began + 20:
             hub.sleep(0.05)
             counts.append(len(os.listdir("/proc/self/fd")) - before)
         came = Discovery(hub)
-        watch.move(came.listener.address)
+        watcher.move(came.listener.address)
         end = time.monotonic() + 2
         while not came.asked and time.monotonic() < end:
             hub.sleep(0.01)
@@ -215,56 +228,56 @@
     play(hub, scene)
     for sock in backlog:
         sock.close()
-    # two dials, or the one that is kept back; at the end the listener and both ends of the connection
+    # two dials, or the reserved descriptor; at the end the listener and both ends of the connection
     assert max(counts[:-1]) <= 2 and counts[-1] == 3, (max(counts[:-1]), counts[-1])
 
 
 @pytest.mark.parametrize(
-    "fates, takes",
+    "delays, expected_s",
     [
         ([0.0], 0.0),
-        ([LOST, 0.0], 0.5),
-        ([LATE, LOST], 1.5),
-        ([LATE, 0.2], 0.7),
-        ([LATE, 1.0], 1.5),
-        ([LOST, LATE], 2.0),
-        ([LOST, LOST], 2.1),
+        ([NEVER, 0.0], 0.5),
+        ([SLOW_S, NEVER], 1.5),
+        ([SLOW_S, 0.2], 0.7),
+        ([SLOW_S, 1.0], 1.5),
+        ([NEVER, SLOW_S], 2.0),
+        ([NEVER, NEVER], 2.1),
     ],
 )
-def test_the_first_dial_that_comes_up_is_kept_and_the_other_is_closed(clock, monkeypatch, fates, takes):
-    hub, dials = clock.hub(), Dials(monkeypatch)
-    dials.fates = list(fates)
+def test_the_first_dial_that_succeeds_is_kept_and_the_other_is_closed(clock, monkeypatch, delays, expected_s):
+    hub, scripted_dials = clock.hub(), ScriptedDials(monkeypatch)
+    scripted_dials.delays = list(delays)
     discovery, took = Discovery(hub), []
 
     def scene() -> None:
         began = time.monotonic()
         try:
-            conn = dial.Dialer(hub).up(discovery.listener.address)
+            conn = dial.Dialer(hub).dial(discovery.listener.address)
             took.append(time.monotonic() - began)
             hub.sleep(3)
-            assert len(discovery.listener.connections) == 1 and dials.out == 0
+            assert len(discovery.listener.connections) == 1 and scripted_dials.out == 0
             conn.close()
         except Refused:
             took.append(time.monotonic() - began)
         discovery.listener.close()
 
     play(hub, scene)
-    assert took == [pytest.approx(takes, abs=0.1)]
-    assert dials.out == 0
+    assert took == [pytest.approx(expected_s, abs=0.1)]
+    assert scripted_dials.out == 0
 
 
-def test_a_bulletin_that_begins_with_the_event_asked_with_is_asked_again_once_and_then_followed(clock):
+def test_a_bulletin_that_begins_with_the_requested_event_causes_one_reconnect(clock):
     hub, news = clock.hub(), []
     discovery = Discovery(hub)
-    discovery.tell(80, 1)
-    discovery.first = dict.fromkeys(range(1000), discovery.events[0])
-    watch = follower.Bulletin(hub, discovery.listener.address, 2, news.append)
+    discovery.publish(80, 1)
+    discovery.first_bytes = dict.fromkeys(range(1000), discovery.events[0])
+    watcher = bulletin_watcher.BulletinWatcher(hub, discovery.listener.address, 2, news.append)
 
     def scene() -> None:
-        watch.start()
+        watcher.start()
         hub.sleep(10)
         assert len(discovery.asked) == 2
-        discovery.tell(80, 2)
+        discovery.publish(80, 2)
         hub.sleep(0.5)
         discovery.listener.close()
 
@@ -272,7 +285,7 @@
     assert discovery.asked == [2, 2] and [one.number for one in news] == [3]
 
 
-def test_a_bulletin_whose_every_word_is_late_is_heard_all_the_same(clock):
+def test_a_bulletin_whose_every_first_frame_is_late_is_still_read(clock):
     hub, news = clock.hub(), []
 
     def serve(conn: Connection) -> None:
@@ -286,10 +299,10 @@
         hub.sleep(20)
 
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "late")
-    watch = follower.Bulletin(hub, listener.address, 1, news.append)
+    watcher = bulletin_watcher.BulletinWatcher(hub, listener.address, 1, news.append)
 
     def scene() -> None:
-        watch.start()
+        watcher.start()
         hub.sleep(8)
         listener.close()
 
@@ -298,11 +311,11 @@
 
 
 @pytest.mark.parametrize("error", [ValueError("a fault"), OSError("of the system"), TimedOut()])
-def test_no_error_ends_the_watch(clock, error):
+def test_no_error_ends_the_watcher(clock, error):
     lines: list[str] = []
     hub, posted = clock.hub(lines.append), []
     discovery = Discovery(hub)
-    discovery.tell(80, 1)
+    discovery.publish(80, 1)
 
     def post(news) -> None:
         posted.append(news.number)
@@ -310,9 +323,9 @@
             raise error
 
     def scene() -> None:
-        follower.Bulletin(hub, discovery.listener.address, 1, post).start()
+        bulletin_watcher.BulletinWatcher(hub, discovery.listener.address, 1, post).start()
         hub.sleep(1)
-        discovery.tell(80, 2)
+        discovery.publish(80, 2)
         hub.sleep(1)
         discovery.listener.close()
 
@@ -321,23 +334,24 @@
 
 
 class Sink:
-    """What a source tells; the first of it may meet an error."""
+    """Records a source's reports; the first one may raise an error."""
 
     def __init__(self, error: Exception | None = None) -> None:
-        self.heard, self.error = [], error
+        self.received, self.error = [], error
 
-    def told(self, *what) -> None:
-        self.heard.append("told")
+    def on_list(self, *what) -> None:
+        self.received.append("told")
         if self.error is not None:
             error, self.error = self.error, None
             raise error
 
-    def failed(self, *what) -> None:
-        self.heard.append("failed")
+    def on_failure(self, *what) -> None:
+        self.received.append("failed")
 
 
-def test_a_source_that_is_stopped_while_its_question_is_out_tells_nothing_more(clock):
-    # the resolver takes what interrupts it for the end of a connection: two of one name told lists in turn
+def test_a_source_that_is_stopped_during_a_dns_query_reports_nothing_more(clock):
+    # The resolver took the interrupt for a closed connection, so the old source went on beside its
+    # replacement of the same name and both reported lists.
     hub, sink = clock.hub(), Sink()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
@@ -346,7 +360,7 @@
 
         def scene() -> None:
             source.start()
-            while not hub._waits[1]:  # until its question is out
+            while not hub._waits[1]:  # until its query is sent
                 hub.sleep(0.01)
             task = source.task
             source.stop()
@@ -354,14 +368,14 @@
             assert task.dead
 
         play(hub, scene)
-        assert len(server.recv(512)) > 12 and sink.heard == []
+        assert len(server.recv(512)) > 12 and sink.received == []
 
 
-def test_an_error_in_what_a_source_tells_does_not_end_it(clock, monkeypatch):
+def test_an_error_while_handling_a_list_does_not_end_the_source(clock, monkeypatch):
     lines: list[str] = []
     hub, sink = clock.hub(lines.append), Sink(ValueError("a fault"))
     source = Srv(hub, "x", Resolver(hub, [("127.0.0.1", 9)]), "_x._tcp.test", "ipv4", sink)
-    monkeypatch.setattr(source, "look", lambda anew: ([], time.monotonic(), time.monotonic() + 1))
+    monkeypatch.setattr(source, "poll", lambda bypass_cache: ([], time.monotonic(), time.monotonic() + 1))
 
     def scene() -> None:
         source.start()
@@ -369,4 +383,4 @@
         source.stop()
 
     play(hub, scene)
-    assert sink.heard[:3] == ["told", "failed", "told"] and lines[0].startswith("error: source x")
+    assert sink.received[:3] == ["told", "failed", "told"] and lines[0].startswith("error: source x")
