--- a/benchmarks/charts.py
+++ b/benchmarks/charts.py
@@ -21,16 +21,16 @@
     """Draw two charts: the ratio of counts after and before, for each scenario; goodput by offered load."""
     matplotlib.rcParams["svg.hashsalt"] = "aspenrill"
     figure, (left, right) = plt.subplots(1, 2, figsize=(13, 4.6))
-    names = [name for name in path["counts"] if name in path["before"]]
+    scenarios = [scenario for scenario in path["counts"] if scenario in path["before"]]
     for index, metric in enumerate((*CHARTED_COUNTS, "CPU")):
         values = [
-            path["cpu"][name].get("ratio", 0)
+            path["cpu"][scenario].get("ratio", 0)
             if metric == "CPU"
-            else path["counts"][name].get(metric, 0) / path["before"][name].get(metric, 1)
-            for name in names
+            else path["counts"][scenario].get(metric, 0) / path["before"][scenario].get(metric, 1)
+            for scenario in scenarios
         ]
-        left.barh([y + 0.2 * index for y in range(len(names))], values, 0.18, label=metric)
-    left.set_yticks([y + 0.3 for y in range(len(names))], names)
+        left.barh([y + 0.2 * index for y in range(len(scenarios))], values, 0.18, label=metric)
+    left.set_yticks([y + 0.3 for y in range(len(scenarios))], scenarios)
     left.invert_yaxis()
     left.axvline(1.0, color="grey", lw=0.8)
     left.set_xlabel("after, of before")
--- a/benchmarks/fleet_forecast.py
+++ b/benchmarks/fleet_forecast.py
@@ -138,7 +138,7 @@
     return DAY * sum((a - x) * (b - y) for a, b in points) / sum((a - x) ** 2 for a, _ in points)
 
 
-def errors(name: str, seed: int, rules: ForecastRules) -> dict:
+def measure_errors(name: str, seed: int, rules: ForecastRules) -> dict:
     """Scaled errors of the three methods for one history, by horizon, and how often the interval held.
 
     "inside" and "above" say whether the true growth was within the forecast interval or above it.
@@ -221,7 +221,7 @@
     """Forecast errors and schedule results of all histories."""
     result = {}
     for name in HISTORIES:
-        runs = [errors(name, seed, rules) for seed in range(seeds)]
+        runs = [measure_errors(name, seed, rules) for seed in range(seeds)]
         row: dict = {}
         for horizon in HORIZONS:
             row[horizon] = {
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -5,10 +5,11 @@
 The model runs on a virtual clock without I/O. All warm engines form one pool of `THREADS_PER_PROCESS`
 threads per process. With up to that many requests in flight each does one core-second of work per second;
 with f times as many the throughput of the whole pool falls by the square root of f. Requests of three
-classes arrive as Poisson processes. A process queues those beyond its slots, highest worth per work first, until their time budget is
-over. Served worth is that of requests that end in time. Without peers a process has an equal share of the
-pool, with peers the share that the overload component gives it. Clients of a killed process move to the
-others. Not modelled: single engines, their health, handshakes, memory, and CPU time of the front ends.
+classes arrive as Poisson processes. A process queues those beyond its slots, highest worth per work first,
+until their time budget is over. Served worth is that of requests that end in time. Without peers a process
+has an equal share of the pool, with peers the share that the overload component gives it. Clients of a killed
+process move to the others. Not modelled: single engines, their health, handshakes, memory, and CPU time of
+the front ends.
 """
 
 from __future__ import annotations
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,7 +22,7 @@
 class KnownRed:
     """The plugin: marks the listed tests and judges their results."""
 
-    def __init__(self, config: pytest.Config, listed: list[known_red.Known]) -> None:
+    def __init__(self, config: pytest.Config, listed: list[known_red.KnownFailure]) -> None:
         self.config, self.listed = config, {known.test: known for known in listed}
         self.ends: dict[str, str] = {}  # results of the listed tests that ran
 
@@ -47,7 +47,7 @@
         """Return the test's result as it is printed; it begins with FAULT if the run must fail."""
         config, option = self.config, self.config.option
         part = option.collectonly or option.keyword or option.markexpr or option.deselect
-        asked = known_red.is_asked(test, config.args, config.rootpath, config.invocation_params.dir)
+        asked = known_red.is_selected(test, config.args, config.rootpath, config.invocation_params.dir)
         return self.ends.get(test) or ("not asked for" if part or not asked else "FAULT, did not run")
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -13,7 +13,7 @@
 MAX_ENTRIES = 3
 
 
-class Known(NamedTuple):
+class KnownFailure(NamedTuple):
     """An entry of the list."""
 
     test: str
@@ -21,9 +21,9 @@
     issue: str
 
 
-def parse(text: str) -> list[Known]:
+def parse(text: str) -> list[KnownFailure]:
     """Parse the entries, in order. ValueError names a malformed line, or reports too many entries."""
-    entries: list[Known] = []
+    entries: list[KnownFailure] = []
     for line_number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
@@ -32,13 +32,13 @@
             raise ValueError(f"line {line_number}: not of the form FILE::TEST | cause | issue")
         if any(columns[0] == known.test for known in entries):
             raise ValueError(f"line {line_number}: {columns[0]} is listed twice")
-        entries.append(Known(*columns))
+        entries.append(KnownFailure(*columns))
     if len(entries) > MAX_ENTRIES:
         raise ValueError(f"{len(entries)} tests, {MAX_ENTRIES} at most")
     return entries
 
 
-def is_asked(test: str, args: Iterable[str], root: Path, folder: Path) -> bool:
+def is_selected(test: str, args: Iterable[str], root: Path, folder: Path) -> bool:
     """Whether pytest arguments, relative to `folder`, select a test whose node id is relative to `root`."""
     file, _, name = test.partition("::")
     for arg in args:
--- a/tests/test_groups_forecast.py
+++ b/tests/test_groups_forecast.py
@@ -16,7 +16,7 @@
 from aspenrill.fleet.groups.forecast import DAY, Forecast, ForecastRules, forecast, seasons, smooth
 from aspenrill.fleet.groups.records import Split, Step
 from aspenrill.fleet.groups.schedule import Outlook, Scheduler, ScheduleRules, limit_hour, quietest_hour
-from benchmarks.fleet_forecast import FIRST_HOUR, HISTORIES, HORIZONS, errors
+from benchmarks.fleet_forecast import FIRST_HOUR, HISTORIES, HORIZONS, measure_errors
 
 WEEK = [1.2, 1.1, 1.0, 1.1, 1.2, 0.7, 0.7]
 
@@ -123,7 +123,7 @@
 def test_forecast_beats_both_baselines_on_synthetic_histories():
     names = ["linear growth", "gaps", "late counts", "stalls", "weekdays only", "bursts"]
     assert len(HISTORIES) >= 12
-    rows = [errors(name, 1, ForecastRules())[HORIZONS[0]] for name in names]
+    rows = [measure_errors(name, 1, ForecastRules())[HORIZONS[0]] for name in names]
     ours, last, line = (sum(sum(row[what]) for row in rows) for what in ("forecast", "last value", "line"))
     inside = sum(sum(row["inside"]) for row in rows) / sum(len(row["inside"]) for row in rows)
     assert ours < 0.8 * last and ours < 0.9 * line and inside >= 0.8
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -128,4 +128,4 @@
     ],
 )
 def test_is_selected(tmp_path, arg, selected):
-    assert known_red.is_asked(FAILING, [arg], tmp_path, tmp_path) is selected
+    assert known_red.is_selected(FAILING, [arg], tmp_path, tmp_path) is selected
