--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -52,7 +52,7 @@
         self.most_engines = MOST_ENGINES  # in the list: it bounds the memory
         self.tell: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
         self.kept: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
-        self.fleet: Any = None  # `fleet.feed.Feed`, which counts arrivals and ends
+        self.fleet: Any = None  # `fleet.request_feed.RequestFeed`, which counts arrivals and ends
 
     def run(self) -> None:
         """Process events until the process exits."""
@@ -115,7 +115,7 @@
         if self.closed:
             return  # `_on_closing` has answered it
         if self.fleet is not None:
-            self.fleet.asked(request)
+            self.fleet.on_request(request)
         patience = request.deadline - time.monotonic()  # less what it waited here
         self._decide(
             api.Request(
@@ -145,7 +145,7 @@
         if self.kept is not None:
             freed = self.kept.ended(request, end.result if ok else None, self.kept.clock())
         if ok and self.fleet is not None:
-            self.fleet.ended(end)
+            self.fleet.on_attempt_ended(end)
         if ok and request.open:
             if now <= request.deadline + EXPIRY_GRACE:
                 self._final(request, Served(end.result))
@@ -213,7 +213,7 @@
         if end.peer.retired:
             return  # the probe went to the previous process with this id
         if self.fleet is not None:
-            self.fleet.probed(end)
+            self.fleet.on_probe_result(end)
         self._decide(api.ProbeEnded(end.peer.engine, end.outcome, end.latency, end.report))
 
     def _on_heard(self, heard: books.Heard) -> None:
@@ -315,7 +315,7 @@
                 if request is not None:
                     self.request_log.refused(request, reason)
                 if self.fleet is not None and request is not None:
-                    self.fleet.refused(request)
+                    self.fleet.on_refused(request)
                 self._final(request, Refused(retry_after))
             case api.Fail(request_id, reason):
                 request = self.open.get(request_id)
--- a/aspenrill/fleet/whole.py
+++ b/aspenrill/fleet/atomic_file.py
@@ -9,7 +9,7 @@
 from ..errors import DiskTrouble
 
 
-def write_whole(path: Path, data: bytes) -> bool:
+def write_atomically(path: Path, data: bytes) -> bool:
     """Replace a file atomically; returns whether its content changed. A reader sees the old or the new file,
     also after a crash. DiskTrouble if it fails; the old file is unchanged then."""
     draft = path.with_name(f".{path.name}.new")
--- a/aspenrill/fleet/authority/election.py
+++ b/aspenrill/fleet/authority/election.py
@@ -9,7 +9,7 @@
 
 import random
 
-from ..interface import Effect, Note
+from ..interface import Effect, LogLine
 from .leadership import Leadership
 from .rules import Rules
 from .voter import Voter
@@ -168,7 +168,7 @@
         leadership, self.leadership = self.leadership, None
         if leadership is None:
             return []
-        effects: list[Effect] = [Note(reason)] if reason else []
+        effects: list[Effect] = [LogLine(reason)] if reason else []
         if leadership.pre_voting:
             return effects
         release = Release(leadership.epoch, self.incarnation)
--- a/aspenrill/fleet/authority/follow.py
+++ b/aspenrill/fleet/authority/follow.py
@@ -174,8 +174,10 @@
         if self._tree is None:
             members = self.view.members()
             voters = self.rules.voters
-            running = sorted((m.place, m.name) for m in members.values() if m.there and m.name not in voters)
-            roots = [name for name in voters if name in members and members[name].there]
+            running = sorted(
+                (m.place, m.name) for m in members.values() if m.is_live and m.name not in voters
+            )
+            roots = [name for name in voters if name in members and members[name].is_live]
             self._tree = roots + [name for _, name in running]
         return self._tree
 
--- a/aspenrill/fleet/authority/part.py
+++ b/aspenrill/fleet/authority/part.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ...errors import DiskTrouble, StateTrouble
-from ..interface import Effect, Entry, Inform, Member, Note, Post, Put, Store, View
+from ..interface import Effect, Entry, LogLine, Member, Notify, Post, Put, Store, View
 from .election import Election
 from .follow import LogFollower
 from .rules import MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_KIND_BYTES, MAX_PROPOSALS, MAX_UNAGREED, Rules
@@ -118,10 +118,10 @@
             or len(body) > MAX_BODY_BYTES
         ):
             return [
-                Note(f"authority: a record of kind {kind[:MAX_KIND_BYTES]!r} is too large; it is dropped")
+                LogLine(f"authority: a record of kind {kind[:MAX_KIND_BYTES]!r} is too large; it is dropped")
             ]
         if len(self.proposals) >= MAX_PROPOSALS or (self.table.full and (kind, key) not in self.table.latest):
-            return [Note(f"authority: too many records; one of kind {kind!r} is dropped")]
+            return [LogLine(f"authority: too many records; one of kind {kind!r} is dropped")]
         self.proposals.append((kind, key, body))
         return []
 
@@ -144,7 +144,7 @@
             self.election = Election(self.rules, view.name, view.incarnation, self.voter, self.rng, now)
             self._note_epoch(self.voter.promise.epoch if self.voter.promise is not None else 0)
         records = sorted(self.table.latest.values(), key=lambda record: record.number)
-        return [Inform(record.to_agreed()) for record in records] + effects + self._finish_call(now)
+        return [Notify(record.to_agreed()) for record in records] + effects + self._finish_call(now)
 
     def on_member(self, now: float, member: Member) -> list[Effect]:
         """A member has changed."""
@@ -185,7 +185,7 @@
             return []
         self.disk_failed = True
         failure = DiskTrouble(f"{NAME}: {key} could not be written")
-        return [Note(failure.line())] + self._step_down(now)
+        return [LogLine(failure.line())] + self._step_down(now)
 
     def on_leave(self, now: float) -> list[Effect]:
         """Releases the lease before the process ends."""
@@ -258,7 +258,7 @@
         if sender in self.unknown_voters or len(self.unknown_voters) >= MAX_PROPOSALS:
             return []
         self.unknown_voters.add(sender)
-        return [Note(f"authority: {sender} acts as a voter but is none here; compare its configuration")]
+        return [LogLine(f"authority: {sender} acts as a voter but is none here; compare its configuration")]
 
     def _on_accept(self, now: float, sender: str, incarnation: int, accept: Accept) -> list[Effect]:
         if accept.incarnation != incarnation:
@@ -280,7 +280,7 @@
 
     def _after_change(self, now: float, before: int, change: Change) -> list[Effect]:
         """Reports, stores and forwards a change of the table."""
-        effects: list[Effect] = [Inform(record.to_agreed()) for record in change.new_records]
+        effects: list[Effect] = [Notify(record.to_agreed()) for record in change.new_records]
         if self.voter is not None and not self.disk_failed:
             effects += self.voter.persist(change) + self.voter.join_if_caught_up(now)
         return effects + self.follow.forward(before)
@@ -321,7 +321,7 @@
         self.sent_numbers = {other: self.table.last for other in self.election.others}
         self.resend_at, self.announced_number = now, 0
         self.election.next_round_at = now + self.rules.renew
-        note = Note(
+        note = LogLine(
             f"authority: coordinates in epoch {leadership.epoch}, "
             f"log recovered up to {leadership.recovered_to}"
         )
--- a/aspenrill/fleet/authority/rules.py
+++ b/aspenrill/fleet/authority/rules.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ...errors import FleetConfigTrouble
-from ..interface import DRIFT
+from ..interface import MAX_CLOCK_DRIFT
 
 MOST_VOTERS = 9
 LONGEST_SPAN = 60.0  # seconds; upper bound of the coordinator's lease
@@ -62,4 +62,4 @@
 
     def grantor_duration(self, lease: float) -> float:
         """How long the grantor treats a lease as running: longer than the holder, by drift and margin."""
-        return lease * (1 + DRIFT) + self.margin
+        return lease * (1 + MAX_CLOCK_DRIFT) + self.margin
--- a/aspenrill/fleet/authority/voter.py
+++ b/aspenrill/fleet/authority/voter.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Mapping
 
-from ..interface import Effect, Note, Store
+from ..interface import Effect, LogLine, Store
 from .rules import MAX_UNAGREED, Rules
 from .table import Change, Table
 from .wire import (
@@ -208,7 +208,7 @@
         """No other voter has stored state either: the fleet starts for the first time."""
         return [
             *self._promise(Promise()),
-            Note("authority: a voter from now on, as no voter has stored state"),
+            LogLine("authority: a voter from now on, as no voter has stored state"),
         ]
 
     def on_admission(self, name: str, admission: Admission) -> None:
@@ -228,5 +228,5 @@
         ):
             return []
         self.lease_until = now + self.rules.grantor_duration(self.rules.lease)
-        note = Note(f"authority: a voter from now on, admitted in epoch {self.pending_promise.epoch}")
+        note = LogLine(f"authority: a voter from now on, admitted in epoch {self.pending_promise.epoch}")
         return [*self._promise(self.pending_promise), note]
--- a/aspenrill/fleet/authority/wire.py
+++ b/aspenrill/fleet/authority/wire.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..interface import MOST_BODY, Agreed, Post
+from ..interface import MAX_BODY, Agreed, Post
 from .rules import LONGEST_SPAN, MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_KIND_BYTES, MAX_UNAGREED
 
 MAX_NUMBER = 2**53 - 1
@@ -207,7 +207,7 @@
     | Fetch
     | Chunk
 )
-MAX_RECORDS_BYTES = MOST_BODY - 60  # bytes available for the records of one message
+MAX_RECORDS_BYTES = MAX_BODY - 60  # bytes available for the records of one message
 
 encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(Message)
@@ -215,7 +215,7 @@
 
 def decode(body: bytes) -> Message | None:
     """Decodes and validates a message; None if it is malformed."""
-    if len(body) > MOST_BODY:
+    if len(body) > MAX_BODY:
         return None
     try:
         return _decoder.decode(body)
--- a/aspenrill/fleet/broadcast.py
+++ b/aspenrill/fleet/broadcast.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from .interface import Effect, Entry, Inform, Member, Put, View
+from .interface import Effect, Entry, Member, Notify, Put, View
 
 TOPIC = "tell"
 MAX_MESSAGE = 256  # bytes, the limit of `api.Tell`
@@ -35,32 +35,32 @@
         return [Put(TOPIC, data)] if 0 < len(data) <= MAX_MESSAGE else []
 
     def on_start(self, now: float, view: View, stored: Mapping[str, bytes]) -> list[Effect]:
-        """See interface.Part."""
+        """See interface.Component."""
         self._view = view
         return []
 
     def on_member(self, now: float, member: Member) -> list[Effect]:
-        """See interface.Part."""
+        """See interface.Component."""
         return []
 
     def on_entry(self, now: float, entry: Entry) -> list[Effect]:
         """Pass on a received message; an empty entry has none."""
         if not 0 < len(entry.value) <= MAX_MESSAGE:
             return []
-        return [Inform(BroadcastReceived(sorted(self._view.members()).index(entry.origin), entry.value))]
+        return [Notify(BroadcastReceived(sorted(self._view.members()).index(entry.origin), entry.value))]
 
     def on_message(self, now: float, sender: str, incarnation: int, body: bytes) -> list[Effect]:
-        """See interface.Part. No messages are sent to this component."""
+        """See interface.Component. No messages are sent to this component."""
         return []
 
     def on_tick(self, now: float) -> list[Effect]:
-        """See interface.Part."""
+        """See interface.Component."""
         return []
 
     def on_disk(self, now: float, key: str) -> list[Effect]:
-        """See interface.Part. Nothing is stored."""
+        """See interface.Component. Nothing is stored."""
         return []
 
     def on_leave(self, now: float) -> list[Effect]:
-        """See interface.Part."""
+        """See interface.Component."""
         return []
--- a/aspenrill/fleet/components.py
+++ b/aspenrill/fleet/components.py
@@ -21,11 +21,11 @@
 from .groups.part import GroupRules, Groups
 from .groups.schedule import ScheduleRules
 from .groups.splits import SplitRules
-from .interface import Part
+from .interface import Component
 from .kept.front import Kept, LoadNews
 from .kept.policy import Policy, PurgeSettings, read_kept, read_purges
 from .kept.store import Store
-from .overload.part import OverloadPart
+from .overload.part import OverloadComponent
 from .overload.rules import Rules as OverloadRules
 from .purges.part import Purges
 from .service import boottime
@@ -50,14 +50,14 @@
     authority: AuthorityPart | None = None
     purges: Purges | None = None
     groups: Groups | None = None
-    overload: OverloadPart | None = None
+    overload: OverloadComponent | None = None
     store: Store = field(default_factory=Store)
     policy: Policy = field(default_factory=Policy)
     purge_settings: PurgeSettings = field(default_factory=PurgeSettings)
     splits_file: str = ""
     cancelled_splits: tuple[str, ...] = ()
 
-    def all(self) -> tuple[Part, ...]:
+    def all(self) -> tuple[Component, ...]:
         """The components in calling order: the authority before those that use it."""
         return tuple(
             component
@@ -119,7 +119,7 @@
     return enabled
 
 
-def _overload(row: Reader, config: Config) -> OverloadPart | None:
+def _overload(row: Reader, config: Config) -> OverloadComponent | None:
     defaults = OverloadRules(1, ("",))
     enabled = _enabled(row, config)
     durations = {
@@ -133,7 +133,7 @@
     row.end()
     if not enabled or config.faults:
         return None
-    return OverloadPart(
+    return OverloadComponent(
         OverloadRules(config.front_ends, config.voters, config.alone, **durations),
         retry_window,
         retry_base,
--- a/aspenrill/fleet/config.py
+++ b/aspenrill/fleet/config.py
@@ -10,8 +10,8 @@
 from ..errors import FleetConfigTrouble
 from ..net.address import parse
 from ..reader import Reader, unique
-from .interface import MOST_PEERS, Place
-from .peers.detector import Pace
+from .interface import MAX_PEERS, Place
+from .peers.detector import Timing
 
 Address = tuple[str, int]
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,47}")
@@ -35,7 +35,7 @@
     voters: tuple[str, ...]
     front_ends: int
     alone: float
-    pace: Pace
+    timing: Timing
     tables: dict[str, Reader] = field(compare=False, repr=False)
     faults: list[str] = field(compare=False, repr=False)
 
@@ -74,26 +74,26 @@
     return tuple(found)
 
 
-def _timing(row: Reader) -> Pace:
-    defaults = Pace()
+def _timing(row: Reader) -> Timing:
+    defaults = Timing()
     suspicion_min = row.number("suspect_least_ms", defaults.suspicion_min * 1000, 10, 60000) / 1000
     suspicion_max = row.number("suspect_most_ms", defaults.suspicion_max * 1000, 10, 600000) / 1000
     if suspicion_min > suspicion_max:
         row.fault("suspect_least_ms", "must not be beyond suspect_most_ms")
-    pace = Pace(
+    timing = Timing(
         probe_interval=row.number("period_ms", defaults.probe_interval * 1000, 50, 60000) / 1000,
         ack_timeout=row.number("ack_ms", defaults.ack_timeout * 1000, 5, 60000) / 1000,
         suspicion_min=suspicion_min,
         suspicion_max=suspicion_max,
         gossip_interval=row.number("gossip_ms", defaults.gossip_interval * 1000, 10, 60000) / 1000,
         fanout=int(row.number("fanout", defaults.fanout, 1, 20)),
-        sync=row.number("exchange_s", defaults.sync, 1, 86400),
+        sync_interval=row.number("exchange_s", defaults.sync_interval, 1, 86400),
         reconnect_interval=row.number("reconnect_ms", defaults.reconnect_interval * 1000, 100, 600000) / 1000,
         forget_after=row.number("forget_s", defaults.forget_after, 10, 10 * 86400),
         entries_kept=row.number("entries_s", defaults.entries_kept, 5, 86400),
     )
     row.end()
-    return pace
+    return timing
 
 
 def read(top: Reader) -> Config:
@@ -116,9 +116,9 @@
         state=top.text("state"),
         place=_place(top),
         voters=tuple(voters),
-        front_ends=int(top.number("front_ends", 1, 1, MOST_PEERS)),
+        front_ends=int(top.number("front_ends", 1, 1, MAX_PEERS)),
         alone=top.number("alone", 0.5, 0, 1),
-        pace=_timing(top.table_of("times")),
+        timing=_timing(top.table_of("times")),
         tables={name: top.table_of(name) for name in COMPONENTS},
         faults=top.faults,
     )
--- a/aspenrill/fleet/groups/owner_file.py
+++ b/aspenrill/fleet/groups/owner_file.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..whole import write_whole
+from ..atomic_file import write_atomically
 from .splits import SplitNews
 
 
@@ -48,4 +48,4 @@
 
 def write(path: Path, update: SplitNews) -> bool:
     """Writes the file if its content has changed; whether it did. Raises DiskTrouble."""
-    return write_whole(path, render(update))
+    return write_atomically(path, render(update))
--- a/aspenrill/fleet/groups/part.py
+++ b/aspenrill/fleet/groups/part.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from ..interface import Agreed, Authority, Effect, Entry, Member, Note, Put, State, Store, View
+from ..interface import Agreed, Authority, Effect, Entry, LogLine, Member, Put, State, Store, View
 from .counts import Counts
 from .forecast import Forecast, ForecastRules, forecast
 from .hours import CountRules
@@ -116,7 +116,9 @@
         self.counts.unsaved_hours.update(self.counts.hours)
         effects: list[Effect] = [Store(key, None) for key in damaged]
         if damaged:
-            effects.append(Note(f"groups: dropped {len(damaged)} stored hours that are damaged or too old"))
+            effects.append(
+                LogLine(f"groups: dropped {len(damaged)} stored hours that are damaged or too old")
+            )
         return effects
 
     def on_member(self, now: float, member: Member) -> list[Effect]:
@@ -217,7 +219,7 @@
                 self.dead_since.setdefault(member.name, hour)
             else:
                 self.dead_since.pop(member.name, None)
-            if member.there or hour - self.dead_since.get(member.name, -1) <= self.rules.counts.close_after:
+            if member.is_live or hour - self.dead_since.get(member.name, -1) <= self.rules.counts.close_after:
                 alive.append((member.name, member.incarnation))
         self.dead_since = {name: since for name, since in self.dead_since.items() if name in members}
         return alive
@@ -234,7 +236,7 @@
     def _all_route_by(self, version: int) -> bool:
         """Whether all running members have announced that they route by this version."""
         for member in self.view.members().values():
-            if member.there and member.name != self.view.name:
+            if member.is_live and member.name != self.view.name:
                 entry = self.view.entry(member.name, MAP_TOPIC)
                 announced = (
                     read(entry.value, MapVersion)
--- a/aspenrill/fleet/groups/splits.py
+++ b/aspenrill/fleet/groups/splits.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from ..interface import Agreed, Authority, Effect, Inform, Note
+from ..interface import Agreed, Authority, Effect, LogLine, Notify
 from .records import Shape, Split, Step, pack, read
 from .route import Map, Router
 
@@ -126,11 +126,11 @@
         if split is None or split.id != record.key or old and old.step >= split.step:
             return []
         if old is None and len(self.splits) >= MAX_REMEMBERED * 2:
-            return [Note(f"split {split.id} is ignored: more than {MAX_REMEMBERED * 2} are known")]
+            return [LogLine(f"split {split.id} is ignored: more than {MAX_REMEMBERED * 2} are known")]
         self.splits[split.id], self.step_since[split.id] = split, now
-        effects: list[Effect] = [Note(log_line(split)), self._splits_update()]
+        effects: list[Effect] = [LogLine(log_line(split)), self._splits_update()]
         if split.step == Step.WARMING:
-            effects.append(Inform(WarmNews(split)))
+            effects.append(Notify(WarmNews(split)))
         return effects + [self._map_update()] if split.step >= Step.SWITCHED else effects
 
     def _map_agreed(self, now: float, record: Agreed) -> list[Effect]:
@@ -141,13 +141,13 @@
         if self.map is before:
             return []
         note = f"map {self.map.version}: group {shape.group} has {shape.parts} parts, by {shape.split}"
-        return [Note(note), self._map_update(), self._splits_update()]
+        return [LogLine(note), self._map_update(), self._splits_update()]
 
-    def _splits_update(self) -> Inform:
-        return Inform(SplitNews(tuple(sorted(self.splits.values(), key=lambda s: s.id)), self.map))
+    def _splits_update(self) -> Notify:
+        return Notify(SplitNews(tuple(sorted(self.splits.values(), key=lambda s: s.id)), self.map))
 
-    def _map_update(self) -> Inform:
-        return Inform(MapNews(self.map, tuple(sorted(s.group for s in self.spreading()))))
+    def _map_update(self) -> Notify:
+        return Notify(MapNews(self.map, tuple(sorted(s.group for s in self.spreading()))))
 
     def spreading(self) -> list[Split]:
         """Splits that are in the map and not done: old and new home engines are both allowed."""
--- a/aspenrill/fleet/groups/telling.py
+++ b/aspenrill/fleet/groups/telling.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from ..interface import MOST_BODY, Effect, Member, Post
+from ..interface import MAX_BODY, Effect, Member, Post
 from .counts import Counts
 from .hours import Key
 from .records import Cell, CounterAck, CounterUpdate, TotalsRequest, pack
@@ -79,7 +79,7 @@
 
     def tick(self, now: float, members: Mapping[str, Member]) -> list[Effect]:
         """Updates the peers, sends queued keys and resends unacknowledged ones."""
-        running = [k for k in self.collectors if k != self.own_name and k in members and members[k].there]
+        running = [k for k in self.collectors if k != self.own_name and k in members and members[k].is_live]
         targets = running if self.is_collector else running[:1]
         for name in [n for n in self.peers if n not in targets]:
             del self.peers[name]
@@ -126,7 +126,7 @@
             for key in peer.unsent:
                 cell = self.counts.cell(key)
                 cell_size = len(pack(cell)) if cell else 0
-                if size + cell_size > MOST_BODY or len(cells) == 64:
+                if size + cell_size > MAX_BODY or len(cells) == 64:
                     break
                 size += cell_size
                 keys.append(key)
--- a/aspenrill/fleet/interface.py
+++ b/aspenrill/fleet/interface.py
@@ -12,10 +12,10 @@
 from enum import IntEnum
 from typing import Protocol
 
-DRIFT = 0.01  # maximum relative difference of two clocks' rates, allowed for by leases
-MOST_PEERS = 1100
-MOST_BODY = 900  # bytes of a message body: with names, place and tag a datagram stays under 1,200
-MOST_VALUE = 600  # bytes of one entry's value
+MAX_CLOCK_DRIFT = 0.01  # maximum relative difference of two clocks' rates, allowed for by leases
+MAX_PEERS = 1100
+MAX_BODY = 900  # bytes of a message body: with names, place and tag a datagram stays under 1,200
+MAX_VALUE = 600  # bytes of one entry's value
 
 
 class State(IntEnum):
@@ -48,7 +48,7 @@
     state: State = State.ALIVE
 
     @property
-    def there(self) -> bool:
+    def is_live(self) -> bool:
         """Whether it counts as running: alive, or suspected and not yet declared dead."""
         return self.state <= State.SUSPECT
 
@@ -114,23 +114,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inform:
+class Notify:
     """Pass a fact to the owner or, where documented, to the driver."""
 
     fact: object
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogLine:
     """Write a log line; the driver limits their rate."""
 
     text: str
 
 
-Effect = Put | Post | Store | Inform | Note
+Effect = Put | Post | Store | Notify | LogLine
 
 
-class Part(Protocol):
+class Component(Protocol):
     """A component of the fleet service. `name` identifies its messages; `topics` are the entries that it
     receives."""
 
@@ -209,7 +209,7 @@
         ...
 
 
-class Follower(Part, Protocol):
+class Follower(Component, Protocol):
     """A component that receives the log's records of some kinds, in order and each once in a run."""
 
     kinds: tuple[str, ...]
--- a/aspenrill/fleet/overload/__init__.py
+++ b/aspenrill/fleet/overload/__init__.py
@@ -1,6 +1,6 @@
 """Fleet-wide overload control: leased capacity shares, one shedding threshold, one retry budget, shared
 probes.
 
-No I/O: `part.OverloadPart` implements `interface.Part`; `bridge.Bridge` connects it to the decision module.
-docs/design/together-overload.md compares the alternatives and has the proofs.
+No I/O: `part.OverloadComponent` implements `interface.Component`; `bridge.Bridge` connects it to the decision
+module. docs/design/together-overload.md compares the alternatives and has the proofs.
 """
--- a/aspenrill/fleet/overload/bridge.py
+++ b/aspenrill/fleet/overload/bridge.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterable
 
 from .facts import Facts, whole_threads
-from .part import OverloadPart
+from .part import OverloadComponent
 from .rules import name_hash
 
 
 class Bridge:
     """`now` is CLOCK_BOOTTIME throughout; work is in core-seconds."""
 
-    def __init__(self, part: OverloadPart) -> None:
+    def __init__(self, part: OverloadComponent) -> None:
         self.part = part
         self.phase = 0.0  # when this process uses its fraction of a thread; set by `started`
 
@@ -26,7 +26,7 @@
 
     # ---- reported by the owner ------------------------------------------------------------------------
 
-    def asked(self, now: float, cls: int, tenant: int, work: float, worth: float) -> None:
+    def on_request(self, now: float, cls: int, tenant: int, work: float, worth: float) -> None:
         """Count an arriving request: its expected work and its total worth."""
         self.part.meter.on_request(now, cls, tenant, work, worth)
 
@@ -43,21 +43,21 @@
         meter.entry_gap_level = entry_gap_level
         meter.waiting = waiting
 
-    def engines(self, warm: Iterable[tuple[str, float]], cold: Iterable[str]) -> None:
+    def set_engines(self, warm: Iterable[tuple[str, float]], cold: Iterable[str]) -> None:
         """Set the engine list, after a change or when an engine is no longer cold. `warm`: name and
         threads."""
         warm, cold = sorted(warm), sorted(cold)
         version = name_hash(repr((warm, cold))) >> 1
         names = [name for name, _ in warm] + cold
-        self.part.engines(version, sum(threads for _, threads in warm), names, cold)
+        self.part.set_engines(version, sum(threads for _, threads in warm), names, cold)
 
     def on_ejected(self, now: float, engine: str) -> None:
         """The decision module has ejected an engine."""
-        self.part.probes.eject(now, engine)
+        self.part.probes.on_ejected(now, engine)
 
     def on_probed(self, now: float, engine: str, recovered: bool) -> None:
         """A probe of an ejected engine has ended."""
-        self.part.probes.answered(now, engine, recovered)
+        self.part.probes.on_answer(now, engine, recovered)
 
     # ---- read by the owner -----------------------------------------------------------------------
 
--- a/aspenrill/fleet/overload/capacity.py
+++ b/aspenrill/fleet/overload/capacity.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..interface import MOST_PEERS
+from ..interface import MAX_PEERS
 
 Size = Annotated[float, Meta(ge=0.0, le=1e9)]
 
@@ -32,7 +32,7 @@
         self.reports: dict[str, CapacityReport] = {}
         self._last_agreed = 0.0  # the last value that all live processes reported
 
-    def hear(self, origin: str, value: bytes) -> None:
+    def on_entry(self, origin: str, value: bytes) -> None:
         """Process an entry of another process. A malformed one is ignored."""
         if not value:
             self.reports.pop(origin, None)
@@ -41,7 +41,7 @@
             report = _decoder.decode(value)
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
             return
-        if origin in self.reports or len(self.reports) < MOST_PEERS:
+        if origin in self.reports or len(self.reports) < MAX_PEERS:
             self.reports[origin] = report
 
     def threads(self, live: Iterable[str]) -> float:
--- a/aspenrill/fleet/overload/cold_slots.py
+++ b/aspenrill/fleet/overload/cold_slots.py
@@ -15,7 +15,7 @@
 import xxhash
 from msgspec import Meta, Struct
 
-from ..interface import MOST_PEERS
+from ..interface import MAX_PEERS
 from .rules import name_hash
 
 MAX_IN_ENTRY = 60  # cold engines in an entry; further ones wait until some are warm
@@ -61,7 +61,7 @@
         changed, self.own = own != self.own, own
         return changed
 
-    def hear(self, origin: str, value: bytes) -> None:
+    def on_entry(self, origin: str, value: bytes) -> None:
         """Process an entry of another process. A malformed one is ignored."""
         if not value:
             self.reports.pop(origin, None)
@@ -70,7 +70,7 @@
             cold = _decoder.decode(value)
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
             return
-        if origin in self.reports or len(self.reports) < MOST_PEERS:
+        if origin in self.reports or len(self.reports) < MAX_PEERS:
             self.reports[origin] = frozenset(cold.engines)
 
     def entry(self) -> bytes:
--- a/aspenrill/fleet/overload/demand.py
+++ b/aspenrill/fleet/overload/demand.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..interface import MOST_PEERS, MOST_VALUE
+from ..interface import MAX_PEERS, MAX_VALUE
 from .wire import Amounts
 
 RATE_WINDOW = 2.0  # seconds, time constant of measured rates
@@ -136,7 +136,7 @@
 
 def pack(report: DemandReport) -> bytes:
     """Encode a report, without the last tenants if it would exceed the size limit of an entry."""
-    while len(value := _encoder.encode(report)) > MOST_VALUE and report.tenants:
+    while len(value := _encoder.encode(report)) > MAX_VALUE and report.tenants:
         report = msgspec.structs.replace(report, tenants=report.tenants[:-1])
     return value
 
@@ -172,13 +172,13 @@
     def __init__(self) -> None:
         self.reports: dict[str, tuple[float, DemandReport]] = {}
 
-    def hear(self, now: float, origin: str, value: bytes) -> None:
+    def on_entry(self, now: float, origin: str, value: bytes) -> None:
         """Process an entry of another process. An empty one removes its report, a malformed one is
         ignored."""
         if not value:
             self.reports.pop(origin, None)
         elif (report := read(value)) is not None and (
-            origin in self.reports or len(self.reports) < MOST_PEERS
+            origin in self.reports or len(self.reports) < MAX_PEERS
         ):
             self.reports[origin] = (now, report)
 
--- a/aspenrill/fleet/overload/leases.py
+++ b/aspenrill/fleet/overload/leases.py
@@ -14,7 +14,7 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-from ..interface import MOST_PEERS
+from ..interface import MAX_PEERS
 from .rules import Rules, name_hash
 from .wire import MAX_QUERIED, Ack, Heartbeat
 
@@ -110,7 +110,7 @@
         """The record of a name. If there are too many, the oldest is evicted unless it is still in force."""
         record = self.records.get(name)
         if record is None:
-            if len(self.records) >= MOST_PEERS:
+            if len(self.records) >= MAX_PEERS:
                 oldest, old = next(iter(self.records.items()))
                 if now < max(old.in_force_until, old.certified_until):
                     return None
--- a/aspenrill/fleet/overload/part.py
+++ b/aspenrill/fleet/overload/part.py
@@ -6,14 +6,14 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from ..interface import MOST_PEERS, Effect, Entry, Inform, Member, Note, Post, Put, State
+from ..interface import MAX_PEERS, Effect, Entry, LogLine, Member, Notify, Post, Put, State
 from . import capacity, demand, wire
 from .capacity import Capacity, CapacityReport
 from .cold_slots import ColdSlots
 from .demand import DemandMeter, DemandReport, DemandReports
 from .facts import Facts, ProbeResult, step_function
 from .ledger import Ledger, Out
-from .probes import Probes
+from .probes import ProbeSchedule
 from .retries import RetryBudget
 from .rules import KINDS, Rules
 from .shares import SheddingThreshold, allocate, band
@@ -31,8 +31,8 @@
 LARGE_FLEET = 400.0  # processes up to which that interval applies
 
 
-class OverloadPart:
-    """See interface.Part. `retry_window`: window of the retry budget in seconds; `retry_base` and
+class OverloadComponent:
+    """See interface.Component. `retry_window`: window of the retry budget in seconds; `retry_base` and
     `retry_ratio`: retries in a window, as a constant and for each first attempt of the fleet. `sole`: see
     Ledger."""
 
@@ -55,14 +55,14 @@
         self.threshold = SheddingThreshold()
         self.ledger: Ledger | None = None
 
-    # ---- interface.Part -------------------------------------------------------------------------------
+    # ---- interface.Component -------------------------------------------------------------------------------
 
     def on_start(self, now: float, view: View, stored: Mapping[str, bytes]) -> list[Effect]:
         """Start with the floor share, if this is the only process of its name."""
         self.view = view
         self.ledger = Ledger(self.rules, view.name, view.incarnation, now, self.sole)
         self.steering = Steering(self.ledger)
-        self.probes, self.cold_slots = Probes(view.name), ColdSlots(view.name, self.rules.count)
+        self.probes, self.cold_slots = ProbeSchedule(view.name), ColdSlots(view.name, self.rules.count)
         self.budget = RetryBudget(now, self.retry_window)
         self.facts = Facts(now)
         self.names = {view.name}
@@ -82,12 +82,12 @@
             if member.incarnation > self.view.incarnation:
                 self.ledger.fence()
             return self._lease_changes(now)
-        if len(self.names) < MOST_PEERS:
+        if len(self.names) < MAX_PEERS:
             self.names.add(member.name)
-        if not member.there:
+        if not member.is_live:
             for known in (self.demand_reports.reports, self.capacity.reports, self.cold_slots.reports):
                 known.pop(member.name, None)
-        self.probes.live(self._live())
+        self.probes.set_live(self._live())
         return []
 
     def on_entry(self, now: float, entry: Entry) -> list[Effect]:
@@ -96,14 +96,14 @@
             return []
         match entry.topic:
             case "overload.whole":
-                self.capacity.hear(entry.origin, entry.value)
+                self.capacity.on_entry(entry.origin, entry.value)
             case "overload.demand":
-                self.demand_reports.hear(now, entry.origin, entry.value)
+                self.demand_reports.on_entry(now, entry.origin, entry.value)
             case "overload.cold":
-                self.cold_slots.hear(entry.origin, entry.value)
+                self.cold_slots.on_entry(entry.origin, entry.value)
             case "overload.probes":
-                results = self.probes.hear(now, entry.origin, entry.incarnation, entry.value)
-                return [Inform(ProbeResult(engine, recovered, entry.origin)) for engine, recovered in results]
+                results = self.probes.on_entry(now, entry.origin, entry.incarnation, entry.value)
+                return [Notify(ProbeResult(engine, recovered, entry.origin)) for engine, recovered in results]
         return []
 
     def on_message(self, now: float, sender: str, incarnation: int, body: bytes) -> list[Effect]:
@@ -120,7 +120,7 @@
         """Send heartbeats, allocate, borrow, publish, and inform the owner."""
         self._refill_retries(now)
         live = self._live()
-        self.probes.live(live)
+        self.probes.set_live(live)
         self.ledger.absent = self._names_to_query(live)
         if now >= self._allocated_at + max(
             ALLOCATION_INTERVAL, ALLOCATION_INTERVAL * self.rules.count / LARGE_FLEET
@@ -130,7 +130,7 @@
         effects += self._messages(self.steering.borrow(now, self._reports, self.meter.waiting))
         effects += self._lease_changes(now) + self._publish(now)
         self.facts = self._facts(now, live)
-        return effects + [Inform(self.facts)]
+        return effects + [Notify(self.facts)]
 
     def on_disk(self, now: float, key: str) -> list[Effect]:
         """Nothing is stored on disk."""
@@ -140,7 +140,7 @@
         """Return loans and notify the voters; nothing may be started from here on."""
         posts = self._messages(self.ledger.leave(now))
         self.facts = self._facts(now, self._live())
-        return [*posts, *(Put(topic, b"") for topic in self.topics), Inform(self.facts)]
+        return [*posts, *(Put(topic, b"") for topic in self.topics), Notify(self.facts)]
 
     # ---- called by the bridge -------------------------------------------------------------------------
 
@@ -152,16 +152,16 @@
         """Take a retry from the budget; False if none is left."""
         return self.budget.take(now, self.ledger.share(now, RETRIES))
 
-    def engines(self, version: int, threads: float, names: list[str], cold: list[str]) -> None:
+    def set_engines(self, version: int, threads: float, names: list[str], cold: list[str]) -> None:
         """Set the engine list: its hash, the total threads of the warm engines, all names, the cold ones."""
         self.capacity.own = CapacityReport(max(0, version) & (2**63 - 1), max(0.0, min(1e9, threads)))
-        self.probes.engines(names)
+        self.probes.set_engines(names)
         self.cold_slots.set_cold(cold)
 
     # ---- internal ---------------------------------------------------------------------------------------
 
     def _live(self) -> list[str]:
-        return [n for n, m in self.view.members().items() if m.there and n != self.view.name]
+        return [n for n, m in self.view.members().items() if m.is_live and n != self.view.name]
 
     def _names_to_query(self, live: list[str]) -> list[str]:
         """The names to query the voters about: none if there are more processes than are configured."""
@@ -227,11 +227,11 @@
         """Log lines for changes of the lease."""
         notes: list[Effect] = []
         if self.ledger.ended and not self._was_ended:
-            notes.append(Note("overload: fenced by a later process or leaving, starts no more requests"))
+            notes.append(LogLine("overload: fenced by a later process or leaving, starts no more requests"))
         joined = self.ledger.joined(now)
         if joined != self._was_joined and not self.ledger.ended:
             lost = f"overload: no majority of voters, capacity share falls to {self.rules.alone:g} of 1/N"
-            notes.append(Note("overload: acknowledged by a majority of voters" if joined else lost))
+            notes.append(LogLine("overload: acknowledged by a majority of voters" if joined else lost))
         self._was_joined, self._was_ended = joined, self.ledger.ended
         return notes
 
--- a/aspenrill/fleet/overload/probes.py
+++ b/aspenrill/fleet/overload/probes.py
@@ -59,7 +59,7 @@
         return min(MAX_INTERVAL, MIN_INTERVAL * 2.0 ** min(self.failures, 8))
 
 
-class Probes:
+class ProbeSchedule:
     """Decides which ejected engines this process probes, and when."""
 
     def __init__(self, name: str) -> None:
@@ -73,13 +73,13 @@
         self._live: tuple[str, ...] = (name,)
         self._ranks: dict[int, int] = {}
 
-    def engines(self, names: Iterable[str]) -> None:
+    def set_engines(self, names: Iterable[str]) -> None:
         """Set the engine list; reports on other engines are ignored."""
         self.names = {name_hash(name): name for name in names}
         for engine in [e for e in self.ejected if e not in self.names]:
             del self.ejected[engine]
 
-    def live(self, names: Iterable[str]) -> None:
+    def set_live(self, names: Iterable[str]) -> None:
         """Set the live processes."""
         live = tuple(sorted({*names, self.name}))
         if live != self._live:
@@ -91,7 +91,7 @@
         """Whether no other process is known."""
         return len(self._live) < 2
 
-    def eject(self, now: float, engine: str) -> None:
+    def on_ejected(self, now: float, engine: str) -> None:
         """This process has ejected an engine."""
         key = name_hash(engine)
         record = self.ejected.get(key)
@@ -101,7 +101,7 @@
         elif record is not None and not record.ejected_here:
             record.ejected_here = True
 
-    def answered(self, now: float, engine: str, recovered: bool) -> None:
+    def on_answer(self, now: float, engine: str, recovered: bool) -> None:
         """Record the result of a probe of this process, or that an engine recovered by itself."""
         key = name_hash(engine)
         self.number += 1
@@ -112,7 +112,7 @@
         self.changed = True
         self._apply(now, key, recovered)
 
-    def hear(self, now: float, origin: str, incarnation: int, value: bytes) -> list[tuple[str, bool]]:
+    def on_entry(self, now: float, origin: str, incarnation: int, value: bytes) -> list[tuple[str, bool]]:
         """Process another process's entry; returns (engine, recovered) of each new result."""
         try:
             entry = _decoder.decode(value) if value else ProbeEntry()
--- a/aspenrill/fleet/overload/rules.py
+++ b/aspenrill/fleet/overload/rules.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from ...errors import FleetConfigTrouble
-from ..interface import DRIFT, MOST_PEERS
+from ..interface import MAX_CLOCK_DRIFT, MAX_PEERS
 
 KINDS = ("threads", "tries")  # the capacities that are shared: threads at warm engines, and retries
 
@@ -38,8 +38,8 @@
 
     def check(self) -> None:
         """Raise FleetConfigTrouble naming the first field that cannot be used."""
-        if not 1 <= self.count <= MOST_PEERS:
-            raise FleetConfigTrouble(f"overload.count: 1 to {MOST_PEERS}, got {self.count}")
+        if not 1 <= self.count <= MAX_PEERS:
+            raise FleetConfigTrouble(f"overload.count: 1 to {MAX_PEERS}, got {self.count}")
         if not self.voters or len(set(self.voters)) != len(self.voters):
             raise FleetConfigTrouble("overload.voters: one name or more, none of them twice")
         if not 0.0 <= self.alone <= 1.0:
@@ -54,17 +54,17 @@
     def silence_timeout(self) -> float:
         """T2: from a voter's last acknowledgement of a process until its lease, and every loan that it may
         have granted under it, has ended for certain."""
-        return (self.lease + self.loan) * (1 + DRIFT) + self.margin
+        return (self.lease + self.loan) * (1 + MAX_CLOCK_DRIFT) + self.margin
 
     @property
     def certificate_timeout(self) -> float:
         """From a voter's certificate of silence until its users have stopped for certain."""
-        return self.lease * (1 + DRIFT) + self.margin
+        return self.lease * (1 + MAX_CLOCK_DRIFT) + self.margin
 
     @property
     def loan_timeout(self) -> float:
         """From a grant until its borrower has stopped for certain, on the lender's clock."""
-        return self.loan * (1 + DRIFT) + self.margin
+        return self.loan * (1 + MAX_CLOCK_DRIFT) + self.margin
 
     @property
     def majority(self) -> int:
--- a/aspenrill/fleet/peer.py
+++ b/aspenrill/fleet/peer.py
@@ -19,12 +19,12 @@
 from ..net.hub import Hub
 from ..net.logwriter import LogWriter
 from ..start import on_signal, open_log
+from .atomic_file import write_atomically
 from .components import FrontEndNames, build
 from .config import read_file
 from .interface import Member, State
 from .operator_interface import OperatorInterface
 from .service import Service
-from .whole import write_whole
 
 WRITE_DELAY = 0.05  # seconds in which changes are combined into one write
 
@@ -57,7 +57,7 @@
             for _, m in sorted(self.service.view.members().items())
         ]
         try:
-            write_whole(
+            write_atomically(
                 self.service.store.folder / "members.json",
                 msgspec.json.encode(
                     {"name": self.service.view.name, "fenced": self.service.fenced, "members": rows}
--- a/aspenrill/fleet/peers/detector.py
+++ b/aspenrill/fleet/peers/detector.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class Timing:
     """The protocol's intervals and timeouts in seconds."""
 
     probe_interval: float = 0.3
@@ -47,7 +47,7 @@
     suspicion_max: float = 2.0
     gossip_interval: float = 0.1  # between rounds, while the gossip queues are not empty
     fanout: int = 3
-    sync: float = 30.0  # between full exchanges, in a fleet of up to 32
+    sync_interval: float = 30.0  # between full exchanges, in a fleet of up to 32
     reconnect_interval: float = 2.0  # between probes of members marked dead
     forget_after: float = 3600.0  # until a dead member is removed
     entries_kept: float = 60.0  # until a dead member's entries are removed
@@ -88,15 +88,15 @@
 class Detector:
     """Probes the members of a table and decides which are suspect or dead."""
 
-    def __init__(self, table: Table, pace: Pace, rng: random.Random, sender: Sender, now: float) -> None:
-        self.table, self.pace, self.rng, self.sender = table, pace, rng, sender
+    def __init__(self, table: Table, timing: Timing, rng: random.Random, sender: Sender, now: float) -> None:
+        self.table, self.timing, self.rng, self.sender = table, timing, rng, sender
         self.local_health = 0  # Lifeguard's local health score; 0 is healthy
         self.rtt = 0.0  # seconds, moving average over the fleet
         self.probes: dict[int, Probe] = {}
         self.indirect_probes: dict[int, IndirectProbe] = {}
         self._seq = rng.getrandbits(32)
         self._order: list[str] = []
-        self._next_probe = now + rng.random() * pace.probe_interval
+        self._next_probe = now + rng.random() * timing.probe_interval
         self._last_received = ("", -1e9)  # sender and time of the last datagram
         self._last_received_other = -1e9  # time of the last datagram from any other sender
         self.false_alarms = self.deaths = self.failed = 0
@@ -111,13 +111,13 @@
     def direct_timeout(self, record: Record | None) -> float:
         """Seconds until indirect probes start."""
         rtt = self.rtt if record is None or record.rtt is None else record.rtt
-        return min(MAX_DIRECT_TIMEOUT, max(self.pace.ack_timeout, 2.5 * rtt)) * (1 + self.local_health)
+        return min(MAX_DIRECT_TIMEOUT, max(self.timing.ack_timeout, 2.5 * rtt)) * (1 + self.local_health)
 
     def declare_dead_at(self, record: Record) -> float:
         """When a member suspected by this process is declared dead (Lifeguard, IV.B)."""
-        suspicion, pace = record.suspicion, self.pace
-        shortest = max(pace.suspicion_min, 1.25 * self.direct_timeout(record))
-        longest = max(shortest, pace.suspicion_max * (1 + self.local_health))
+        suspicion, timing = record.suspicion, self.timing
+        shortest = max(timing.suspicion_min, 1.25 * self.direct_timeout(record))
+        longest = max(shortest, timing.suspicion_max * (1 + self.local_health))
         needed = min(CONFIRMATIONS_FOR_MIN, len(self.table) - 2)
         confirmed = len(suspicion.reporters - {self.table.me.name})
         if needed <= 0:  # no other member could confirm it
@@ -151,7 +151,9 @@
                     del self.indirect_probes[seq]
         self._check_suspicions(now)
         if now >= self._next_probe:
-            self._next_probe = max(now, self._next_probe + self.pace.probe_interval * (1 + self.local_health))
+            self._next_probe = max(
+                now, self._next_probe + self.timing.probe_interval * (1 + self.local_health)
+            )
             record = self._next_target()
             if record is not None:
                 self._start_probe(now, record, False)
@@ -173,7 +175,7 @@
 
     def _unconfirmed_timeout(self) -> float:
         """Seconds until a suspicion reported by others leads to a probe by this process."""
-        return 2 * self.pace.suspicion_max * (1 + self.local_health)
+        return 2 * self.timing.suspicion_max * (1 + self.local_health)
 
     # ---- probing --------------------------------------------------------------------------------------
 
@@ -261,7 +263,7 @@
                     now, record, structs.replace(record.latest, state=int(State.DEAD)), not isolated
                 )
             elif now >= suspicion.verify_at:
-                suspicion.verify_at = now + self.pace.probe_interval
+                suspicion.verify_at = now + self.timing.probe_interval
                 self._start_probe(now, record, True)
 
     # ---- received messages ------------------------------------------------------------------------------
--- a/aspenrill/fleet/peers/events.py
+++ b/aspenrill/fleet/peers/events.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Self:
+class LocalNode:
     """The identity and seeds of the local process."""
 
     name: str
@@ -23,21 +23,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Posted:
+class MessageReceived:
     """Event: a message for a component."""
 
-    part: str
+    component: str
     sender: str
     incarnation: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Renamed:
+class IdentityChanged:
     """Event: the own incarnation changed, the name was lost to another process (`trouble`) or regained."""
 
     incarnation: int
     trouble: NameTrouble | None = None
 
 
-Event = Member | Entry | Posted | Renamed
+Event = Member | Entry | MessageReceived | IdentityChanged
--- a/aspenrill/fleet/peers/exchange.py
+++ b/aspenrill/fleet/peers/exchange.py
@@ -14,13 +14,13 @@
 from msgspec import Meta, Raw, Struct
 
 from ...errors import WireTrouble
-from ..interface import MOST_PEERS
-from .keys import KEY_ID_BYTES, TAG_BYTES, Keys, equal, tag
+from ..interface import MAX_PEERS
+from .keys import KEY_ID_BYTES, TAG_BYTES, KeyRing, equal, tag
 from .shared_state import MAX_TOPICS
 from .wire import BootId, EntryUpdate, MemberUpdate, Name, Natural, Word, encode
 
 if TYPE_CHECKING:
-    from .node import Peers
+    from .node import PeerNode
 
 MAX_FRAME = 65536  # bytes
 FRAME_FILL = 48000  # bytes of updates and entries after which a frame is sent
@@ -71,7 +71,7 @@
 class StreamAuth:
     """Authenticates the frames of one stream, for one side."""
 
-    def __init__(self, keys: Keys, caller: bool) -> None:
+    def __init__(self, keys: KeyRing, caller: bool) -> None:
         self.keys, self.key = keys, keys.primary
         self._send_label, self._receive_label = (b"caller", b"called") if caller else (b"called", b"caller")
         self.nonces = b""
@@ -108,18 +108,18 @@
 class Exchange:
     """One side of an exchange. The caller sends its first frame; each received frame yields the answers."""
 
-    def __init__(self, peers: Peers, keys: Keys, nonce: bytes, callee: bytes | None = None) -> None:
+    def __init__(self, peers: PeerNode, keys: KeyRing, nonce: bytes, callee: bytes | None = None) -> None:
         self.peers, self.caller, self.nonce = peers, callee is not None, nonce
         self.auth = StreamAuth(keys, self.caller)
         self.callee = callee
-        self.handshake_done = self.over = False
+        self.handshake_done = self.done = False
         self._peer_versions: dict[str, dict[str, tuple[int, int]]] = {}
         self._peer_ranks: dict[str, tuple[int, bytes, int, int]] = {}
         self._wanted_keys: list[tuple[str, str]] = []
         self._frames = self._legs = 0
         self.peer_name = ""
 
-    def greet(self) -> bytes:
+    def start(self) -> bytes:
         """The caller's first frame."""
         data = self.auth.seal(self._hello(self.callee))
         self.auth.nonces = self.nonce  # ties the answer to this call
@@ -129,7 +129,7 @@
         me = self.peers.table.me
         return Hello(me.name, me.incarnation, me.boot_id, to, self.nonce)
 
-    def take(self, now: float, data: bytes) -> Iterator[bytes]:
+    def receive(self, now: float, data: bytes) -> Iterator[bytes]:
         """Process a received frame and yield the frames to send."""
         frame = self.auth.unseal(data)
         if not self.handshake_done:
@@ -142,12 +142,12 @@
         if frame.last:
             self._frames, self._legs = 0, self._legs + 1
             if self.caller:
-                self.over = True
+                self.done = True
                 yield from self._chunks(entries=self._wanted_entries())
             elif self._legs == 1:
                 yield from self._missing()
             else:
-                self.over = True
+                self.done = True
 
     def _handshake(self, frame: Hello | Chunk) -> Iterator[bytes]:
         me = self.peers.table.me
@@ -168,14 +168,14 @@
         peers = self.peers
         if (
             max(len(self._peer_ranks), len(self._peer_versions), len(self._wanted_keys) // MAX_TOPICS)
-            > 2 * MOST_PEERS
+            > 2 * MAX_PEERS
         ):
             raise WireTrouble("stream too large")
         for update in frame.updates:
             self._peer_ranks[update.name] = update.rank
             peers.table.merge(now, update, from_exchange=True)
         for entry in frame.entries:
-            peers.board.merge(now, entry)
+            peers.shared.merge(now, entry)
         for known in frame.versions:
             self._peer_versions[known.origin] = {
                 topic: (incarnation, version) for topic, incarnation, version in known.topics
@@ -191,12 +191,12 @@
             yield record.encoded
 
     def _all_versions(self) -> Iterator[EntryVersions]:
-        for origin, topics in list(self.peers.board.by_origin.items()):
+        for origin, topics in list(self.peers.shared.by_origin.items()):
             yield EntryVersions(origin, [(t.topic, t.incarnation, t.version) for t in topics.values()])
 
     def _missing(self) -> Iterator[bytes]:
         """The members and entries that the caller lacks, and requests for those that this side lacks."""
-        table, board = self.peers.table, self.peers.board
+        table, shared = self.peers.table, self.peers.shared
         updates = [
             record.encoded
             for name, record in table.records.items()
@@ -205,7 +205,7 @@
         if table.me.rank > self._peer_ranks.get(table.me.name, (-1, b"", 0, 0)):
             updates.append(Raw(encode(table.me)))
         entries, wanted = [], []
-        for origin, topics in board.by_origin.items():
+        for origin, topics in shared.by_origin.items():
             theirs = self._peer_versions.get(origin, {})
             entries += [
                 entry
@@ -213,7 +213,7 @@
                 if theirs.get(entry.topic, (-1, 0)) < (entry.incarnation, entry.version)
             ]
         for origin, topics in self._peer_versions.items():
-            mine = board.by_origin.get(origin, {})
+            mine = shared.by_origin.get(origin, {})
             for topic, version in topics.items():
                 have = mine.get(topic)
                 if have is None or (have.incarnation, have.version) < version:
@@ -222,7 +222,7 @@
 
     def _wanted_entries(self) -> Iterator[Raw]:
         for origin, topic in self._wanted_keys:
-            entry = self.peers.board.by_origin.get(origin, {}).get(topic)
+            entry = self.peers.shared.by_origin.get(origin, {}).get(topic)
             if entry is not None:
                 yield Raw(encode(entry))
 
--- a/aspenrill/fleet/peers/keys.py
+++ b/aspenrill/fleet/peers/keys.py
@@ -34,7 +34,7 @@
     streams: bytes
 
 
-class Keys:
+class KeyRing:
     """The accepted keys of a fleet. Tags are made with the first."""
 
     def __init__(self, fleet: str, secrets: list[bytes]) -> None:
@@ -60,7 +60,7 @@
     return hmac.compare_digest(mine, theirs)
 
 
-def read_keys(path: str, fleet: str) -> Keys:
+def read_keys(path: str, fleet: str) -> KeyRing:
     """Read one or two keys from a file: hex, one a line, `#` begins a comment line. KeyTrouble if the file
     cannot be read, is accessible to other users or is malformed."""
     try:
@@ -83,4 +83,4 @@
         raise KeyTrouble(f"{path}: a key of less than {MIN_KEY_BYTES} bytes")
     if len(set(secrets)) < len(secrets):
         raise KeyTrouble(f"{path}: one key twice")
-    return Keys(fleet, secrets)
+    return KeyRing(fleet, secrets)
--- a/aspenrill/fleet/peers/link.py
+++ b/aspenrill/fleet/peers/link.py
@@ -15,7 +15,7 @@
 from ...net.hub import READ, Closed, Hub, TimedOut
 from ...net.listener import Listener
 from .exchange import MAX_FRAME, NONCE_BYTES, Exchange
-from .node import Peers
+from .node import PeerNode
 from .wire import MAX_DATAGRAM
 
 Address = tuple[str, int]
@@ -35,7 +35,7 @@
         self, hub: Hub, listen: Address, clock: Callable[[], float], on_change: Callable[[], None]
     ) -> None:
         self.hub, self.clock, self.on_change = hub, clock, on_change
-        self.peers: Peers | None = None
+        self.peers: PeerNode | None = None
         self.unsent = self.sent = self.received = self.exchanges = self.failed_exchanges = 0
         self.outgoing = 0
         self.open = True
@@ -96,7 +96,7 @@
         """Send the pending datagrams and start the pending exchanges. A datagram that the kernel does not
         accept is dropped, as it may be by the network."""
         peers = self.peers
-        for address, data in peers.take_out():
+        for address, data in peers.take_datagrams():
             try:
                 self.sock.sendto(data, address)
                 self.sent += 1
@@ -115,8 +115,8 @@
         exchange: Exchange | None = None
         try:
             conn = connect(self.hub, address, until, source=self.address[0])
-            exchange = self.peers.calling(boot_id, os.urandom(NONCE_BYTES))
-            self._write(conn, exchange.greet(), until)
+            exchange = self.peers.start_exchange(boot_id, os.urandom(NONCE_BYTES))
+            self._write(conn, exchange.start(), until)
             self._run(conn, exchange, until)
             conn.read(1, until)  # wait for the other side to close
         except Closed:
@@ -128,7 +128,7 @@
             self.outgoing -= 1
             if conn is not None:
                 conn.close()
-            done = exchange is not None and exchange.over
+            done = exchange is not None and exchange.done
             self.exchanges += done
             if not done:
                 self.failed_exchanges += 1
@@ -137,7 +137,7 @@
     def _serve(self, conn: Connection) -> None:
         until = self.hub.timers.clock() + EXCHANGE_TIMEOUT
         try:
-            self._run(conn, self.peers.called(os.urandom(NONCE_BYTES)), until)
+            self._run(conn, self.peers.accept_exchange(os.urandom(NONCE_BYTES)), until)
         except WireTrouble as why:
             try:
                 address = conn.sock.getpeername()[:2]
@@ -147,11 +147,11 @@
 
     def _run(self, conn: Connection, exchange: Exchange, until: float) -> None:
         conn.busy = 1
-        while not exchange.over:
+        while not exchange.done:
             data, start, end = conn.frame(MAX_FRAME, until)
             conn.spoke = True
             try:
-                for frame in exchange.take(self.clock(), bytes(data[start:end])):
+                for frame in exchange.receive(self.clock(), bytes(data[start:end])):
                     self._write(conn, frame, until)
             except (WireTrouble, Closed, TimedOut):
                 raise
--- a/aspenrill/fleet/peers/node.py
+++ b/aspenrill/fleet/peers/node.py
@@ -13,12 +13,12 @@
 from msgspec import Raw
 
 from ...errors import NameTrouble, WireTrouble
-from ..interface import MOST_BODY, Member, State
-from .detector import Detector, Pace
-from .events import Address, Event, Posted, Renamed, Self
+from ..interface import MAX_BODY, Member, State
+from .detector import Detector, Timing
+from .events import Address, Event, IdentityChanged, LocalNode, MessageReceived
 from .exchange import Exchange
 from .gossip_queue import transmit_limit
-from .keys import Keys
+from .keys import KeyRing
 from .name_conflict import NameConflictResolver
 from .shared_state import SharedState
 from .table import Record, Table
@@ -51,11 +51,11 @@
 SMALL_FLEET = 32  # members up to which exchanges run at the configured interval
 
 
-class Peers:
+class PeerNode:
     """The state machine. Events are emitted in the order of the changes."""
 
-    def __init__(self, me: Self, keys: Keys, pace: Pace, rng: random.Random, now: float) -> None:
-        self.keys, self.pace, self.rng, self.seeds = keys, pace, rng, me.seeds
+    def __init__(self, me: LocalNode, keys: KeyRing, timing: Timing, rng: random.Random, now: float) -> None:
+        self.keys, self.timing, self.rng, self.seeds = keys, timing, rng, me.seeds
         place = me.place
         update = MemberUpdate(
             me.name,
@@ -74,9 +74,9 @@
         self.refused: Counter[str] = Counter()
         self.last_refused: tuple[str, Address] | None = None
         self.table = Table(update, rng, self._member_changed, self._on_self_update)
-        self.board = SharedState(self.table, self.events.append)
+        self.shared = SharedState(self.table, self.events.append)
         self.names = NameConflictResolver(self.table, self, me.incarnation)
-        self.detector = Detector(self.table, pace, rng, self, now)
+        self.detector = Detector(self.table, timing, rng, self, now)
         self.replay_filter = ReplayFilter()
         self.leaving = False
         self._count = 0
@@ -86,14 +86,14 @@
         self._sync_at = now + SYNC_INTERVAL_MIN
         self._join_sync_at = -1e9
         self._sync_target = ""  # the member to run an exchange with soon
-        self._reconnect_at, self._sweep_at = now + pace.reconnect_interval, now + SWEEP_INTERVAL
+        self._reconnect_at, self._sweep_at = now + timing.reconnect_interval, now + SWEEP_INTERVAL
         self._expected_tick_at = now
         self._introduced_at = -1e9
         self.table.update_self(now)
 
     # ---- called by the driver -------------------------------------------------------------------------
 
-    def take_out(self) -> list[tuple[Address, bytes]]:
+    def take_datagrams(self) -> list[tuple[Address, bytes]]:
         """Return and clear the datagrams to send."""
         out, self.out = self.out, []
         return out
@@ -110,26 +110,26 @@
         found = [self.table.records.get(name) for name in names]
         return [(r.latest.name, r.address, r.latest.boot_id) for r in found if r is not None]
 
-    def calling(self, boot_id: bytes, nonce: bytes) -> Exchange:
+    def start_exchange(self, boot_id: bytes, nonce: bytes) -> Exchange:
         """Create the caller's side of an exchange."""
         return Exchange(self, self.keys, nonce, boot_id)
 
-    def called(self, nonce: bytes) -> Exchange:
+    def accept_exchange(self, nonce: bytes) -> Exchange:
         """Create the callee's side of an exchange."""
         return Exchange(self, self.keys, nonce)
 
     def put(self, now: float, topic: str, value: bytes) -> None:
         """Publish an entry of this process; ValueError if a limit is exceeded."""
-        self.board.put(now, topic, value)
+        self.shared.put(now, topic, value)
 
-    def post(self, now: float, to: str, part: str, body: bytes) -> bool:
+    def post(self, now: float, to: str, component: str, body: bytes) -> bool:
         """Send a message to a component of a member; False if it is not live, ValueError if too large."""
-        if len(body) > MOST_BODY:
-            raise ValueError(f"message body of {len(body)} bytes exceeds {MOST_BODY}")
+        if len(body) > MAX_BODY:
+            raise ValueError(f"message body of {len(body)} bytes exceeds {MAX_BODY}")
         record = self.table.records.get(to)
         if record is None or not record.is_live or self.names.fenced:
             return False
-        self.send(now, record, ComponentMessage(part, body))
+        self.send(now, record, ComponentMessage(component, body))
         return True
 
     def leave(self, now: float) -> None:
@@ -137,7 +137,7 @@
         if not self.leaving and not self.names.fenced:
             self.leaving = True
             self.table.update_self(now, state=int(State.LEFT))
-            for record in self.table.sample(4 * self.pace.fanout):
+            for record in self.table.sample(4 * self.timing.fanout):
                 self.send(now, record, None)
 
     def next_due(self) -> float:
@@ -145,7 +145,7 @@
         due = self.names.next_due()
         if not self.names.fenced:
             due = min(due, self.detector.next_due(), self._seed_at, self._reconnect_at, self._sync_at)
-            if self.table.rumours or self.board.rumours:
+            if self.table.gossip or self.shared.gossip:
                 due = min(due, self._gossip_at)
             if self._sync_target:
                 due = min(due, self._join_sync_at + SYNC_INTERVAL_MIN)
@@ -155,7 +155,7 @@
 
     def _detect_pause(self, now: float) -> None:
         """Detect that this process was paused."""
-        if now > self._expected_tick_at + max(self.pace.probe_interval, 0.3):
+        if now > self._expected_tick_at + max(self.timing.probe_interval, 0.3):
             self.detector.on_pause(now)
         self._expected_tick_at = max(now, self._expected_tick_at)
 
@@ -176,15 +176,15 @@
                     self._join_sync_at, self._sync_target = now, ""
                 if now >= self._sweep_at:
                     self._sweep(now)
-            if now >= self._gossip_at and (self.table.rumours or self.board.rumours):
-                self._gossip_at = now + self.pace.gossip_interval
-                for record in self.table.sample(self.pace.fanout):
+            if now >= self._gossip_at and (self.table.gossip or self.shared.gossip):
+                self._gossip_at = now + self.timing.gossip_interval
+                for record in self.table.sample(self.timing.fanout):
                     self.send(now, record, None)
         self._expected_tick_at = max(now, self.next_due())
 
     def _sync_period(self) -> float:
         """The exchange interval; it grows with the fleet so that traffic for each process stays constant."""
-        return self.pace.sync * max(1.0, 1 + math.log2(len(self.table) / SMALL_FLEET))
+        return self.timing.sync_interval * max(1.0, 1 + math.log2(len(self.table) / SMALL_FLEET))
 
     def _contact_seeds(self, now: float) -> None:
         """Join through the seeds while no member is known; then ping a seed and a dead member at times."""
@@ -204,7 +204,7 @@
             for seed in seeds:
                 self.ping_address(now, seed)
         if now >= self._reconnect_at:
-            self._reconnect_at = now + self.pace.reconnect_interval * (0.5 + self.rng.random())
+            self._reconnect_at = now + self.timing.reconnect_interval * (0.5 + self.rng.random())
             dead = [n for n in self.table.departed if self.table.records[n].latest.state == State.DEAD]
             if dead:
                 record = self.table.records[self.rng.choice(dead)]
@@ -215,12 +215,12 @@
         self._sweep_at = now + SWEEP_INTERVAL
         for name in list(self.table.departed):
             record = self.table.records[name]
-            if now >= record.since + self.pace.forget_after:
+            if now >= record.since + self.timing.forget_after:
                 self.table.forget(name)
-            if now >= record.since + self.pace.entries_kept:
-                self.board.forget(name)
-        for name in [name for name in self.board.by_origin if name not in self.table.members]:
-            self.board.forget(name)
+            if now >= record.since + self.timing.entries_kept:
+                self.shared.forget(name)
+        for name in [name for name in self.shared.by_origin if name not in self.table.members]:
+            self.shared.forget(name)
 
     def sync_failed(self, now: float) -> None:
         """Schedule another exchange soon after one failed."""
@@ -256,9 +256,9 @@
                 updates.append(piece)
         if fill:  # with queued gossip
             limit = transmit_limit(len(self.table))
-            queued, remaining = self.table.rumours.pick(now, remaining, MAX_PIECES, limit)
+            queued, remaining = self.table.gossip.pick(now, remaining, MAX_PIECES, limit)
             updates += queued
-            entries, remaining = self.board.rumours.pick(now, remaining, MAX_PIECES, limit)
+            entries, remaining = self.shared.gossip.pick(now, remaining, MAX_PIECES, limit)
             if message is None and not updates and not entries:
                 return
         self._count += 1
@@ -320,7 +320,7 @@
         self.detector.on_received(now, record)
         self._dispatch(now, record, packet)
         for entry in packet.entries:
-            self.board.merge(now, entry)
+            self.shared.merge(now, entry)
         if (
             not record.is_live
             and now >= record.notified_at + NOTIFY_GAP
@@ -342,10 +342,10 @@
                 self.detector.on_ping_request(now, record, request)
             case Nack() as nack:
                 self.detector.on_nack(packet, nack)
-            case ComponentMessage(part, body):
+            case ComponentMessage(component, body):
                 if not record.is_live:
                     raise WireTrouble("mail of the dead")
-                self.events.append(Posted(part, packet.sender, record.latest.incarnation, body))
+                self.events.append(MessageReceived(component, packet.sender, record.latest.incarnation, body))
 
     # ---- members --------------------------------------------------------------------------------------
 
@@ -353,7 +353,7 @@
         self.events.append(member)
         if member.name == self.table.me.name:
             return
-        self.board.remove_older(member.name, member.incarnation)
+        self.shared.remove_older(member.name, member.incarnation)
         for name, returned in self.table.joined:
             self.detector.add_target(name)
             if len(self.table) == 2 or returned:  # just joined, or a partition healed
@@ -374,8 +374,8 @@
     def take_over(self, now: float, incarnation: int) -> None:
         """Take the name over from another process that no longer runs or has withdrawn."""
         self.table.update_self(now, incarnation=incarnation, refutations=0, state=int(State.ALIVE))
-        self.board.republish(now)
-        self.events.append(Renamed(incarnation))
+        self.shared.republish(now)
+        self.events.append(IdentityChanged(incarnation))
 
     def withdraw(self, now: float, elder_address: str) -> None:
         """Give the name up to a running elder process: announce LEFT and stop sending."""
@@ -390,10 +390,10 @@
             [Raw(encode(self.table.me))],
             False,
         )
-        for record in self.table.sample(4 * self.pace.fanout):
+        for record in self.table.sample(4 * self.timing.fanout):
             self.send(now, record, None)
         self.events.append(
-            Renamed(
+            IdentityChanged(
                 self.table.me.incarnation,
                 NameTrouble(f"a process at {elder_address} has the name {name} too, and had it before"),
             )
--- a/aspenrill/fleet/peers/shared_state.py
+++ b/aspenrill/fleet/peers/shared_state.py
@@ -10,7 +10,7 @@
 
 from msgspec import Raw
 
-from ..interface import MOST_VALUE, Entry
+from ..interface import MAX_VALUE, Entry
 from .gossip_queue import GossipQueue
 from .table import Table
 from .wire import EntryUpdate, encode
@@ -25,7 +25,7 @@
     def __init__(self, table: Table, on_change: Callable[[Entry], None]) -> None:
         self.table, self._on_change = table, on_change
         self.by_origin: dict[str, dict[str, EntryUpdate]] = {}
-        self.rumours = GossipQueue(MAX_GOSSIP_AGE)
+        self.gossip = GossipQueue(MAX_GOSSIP_AGE)
 
     # ---- this process ---------------------------------------------------------------------------------
 
@@ -33,7 +33,7 @@
         """Publish a value of this process. ValueError if it is too large or there are too many topics."""
         me = self.table.me
         own = self.by_origin.setdefault(me.name, {})
-        if len(value) > MOST_VALUE or topic not in own and len(own) >= MAX_TOPICS:
+        if len(value) > MAX_VALUE or topic not in own and len(own) >= MAX_TOPICS:
             raise ValueError(f"topic {topic!r}: cannot add {len(value)} bytes to {len(own)} topics")
         before = own.get(topic)
         self._store(
@@ -47,7 +47,7 @@
 
     def _store(self, now: float, entry: EntryUpdate) -> None:
         self.by_origin.setdefault(entry.origin, {})[entry.topic] = entry
-        self.rumours.add(now, (entry.origin, entry.topic), Raw(encode(entry)))
+        self.gossip.add(now, (entry.origin, entry.topic), Raw(encode(entry)))
 
     # ---- others ---------------------------------------------------------------------------------------
 
@@ -81,12 +81,12 @@
         entries = self.by_origin.get(name, {})
         for topic in [t for t, entry in entries.items() if entry.incarnation < incarnation]:
             del entries[topic]
-            self.rumours.drop((name, topic))
+            self.gossip.drop((name, topic))
 
     def forget(self, name: str) -> None:
         """Remove every entry of an origin."""
         for topic in self.by_origin.pop(name, {}):
-            self.rumours.drop((name, topic))
+            self.gossip.drop((name, topic))
 
     # ---- lookups --------------------------------------------------------------------------------------
 
--- a/aspenrill/fleet/peers/table.py
+++ b/aspenrill/fleet/peers/table.py
@@ -16,7 +16,7 @@
 
 from msgspec import Raw, structs
 
-from ..interface import MOST_PEERS, Member, State
+from ..interface import MAX_PEERS, Member, State
 from .gossip_queue import GossipQueue
 from .wire import MemberUpdate, encode
 
@@ -72,7 +72,7 @@
     ) -> None:
         self.me, self.rng = me, rng
         self.records: dict[str, Record] = {}
-        self.rumours = GossipQueue(MAX_GOSSIP_AGE)
+        self.gossip = GossipQueue(MAX_GOSSIP_AGE)
         self._on_change, self._on_self_update = on_change, on_self_update
         self._members = {me.name: me.member()}
         self.members = MappingProxyType(self._members)
@@ -109,7 +109,7 @@
     def update_self(self, now: float, **change: object) -> None:
         """Change and gossip the record of this process."""
         self.me = structs.replace(self.me, **change)
-        self.rumours.add(now, self.me.name, Raw(encode(self.me)))
+        self.gossip.add(now, self.me.name, Raw(encode(self.me)))
         member = self.me.member()
         if member != self._members[member.name]:
             self._members[member.name] = member
@@ -124,7 +124,7 @@
             return
         record = self.records.get(update.name)
         if record is None:
-            if update.state <= State.SUSPECT and len(self) < MOST_PEERS:
+            if update.state <= State.SUSPECT and len(self) < MAX_PEERS:
                 self._add(now, update)
             return
         latest, rank, known_rank = record.latest, update.rank, record.latest.rank
@@ -141,7 +141,7 @@
             update = structs.replace(update, state=int(State.SUSPECT), reporter="")
             if update.rank <= known_rank:
                 return
-        if update.state <= State.SUSPECT and not record.is_live and len(self) >= MOST_PEERS:
+        if update.state <= State.SUSPECT and not record.is_live and len(self) >= MAX_PEERS:
             return
         self.replace(now, record, update)
 
@@ -180,9 +180,9 @@
             record.suspicion = Suspicion(now, False, reporters, now)
             self.suspects[update.name] = record
         if gossip:
-            self.rumours.add(now, update.name, record.encoded)
+            self.gossip.add(now, update.name, record.encoded)
         else:
-            self.rumours.drop(update.name)
+            self.gossip.drop(update.name)
         member = update.member()
         if member != self._members.get(update.name):
             self._members[update.name] = record.member = member
@@ -194,7 +194,7 @@
         if reporter not in reporters and len(reporters) < MAX_REPORTERS:
             reporters.add(reporter)
             update = structs.replace(record.latest, reporter=reporter)
-            self.rumours.add(now, update.name, Raw(encode(update)))
+            self.gossip.add(now, update.name, Raw(encode(update)))
 
     def suspect(self, now: float, record: Record, confirmers: set[str]) -> None:
         """Suspect a member after the probes of this process, and those of the confirmers for it, failed."""
@@ -221,10 +221,10 @@
             self._live_names[index] = last
             self._live_index[last] = index
         self.departed[name] = None
-        if len(self.departed) > MOST_PEERS:
+        if len(self.departed) > MAX_PEERS:
             self.forget(next(iter(self.departed)))
 
     def forget(self, name: str) -> None:
         """Remove a member that is dead or has left."""
         del self.departed[name], self.records[name], self._members[name]
-        self.rumours.drop(name)
+        self.gossip.drop(name)
--- a/aspenrill/fleet/peers/wire.py
+++ b/aspenrill/fleet/peers/wire.py
@@ -14,15 +14,15 @@
 from msgspec import Meta, Raw, Struct
 
 from ...errors import WireTrouble
-from ..interface import MOST_BODY, MOST_PEERS, MOST_VALUE, Entry, Member, Place, State
-from .keys import KEY_ID_BYTES, TAG_BYTES, Keys, equal, tag
+from ..interface import MAX_BODY, MAX_PEERS, MAX_VALUE, Entry, Member, Place, State
+from .keys import KEY_ID_BYTES, TAG_BYTES, KeyRing, equal, tag
 
 VERSION = b"\x01"
 MAX_DATAGRAM = 1200  # bytes
 HEADER_BYTES = len(VERSION) + KEY_ID_BYTES + TAG_BYTES
 BOOT_ID_BYTES = 8  # random, new at each start of a process
 REPLAY_WINDOW = 1024  # datagrams of a sender that may arrive out of order
-MAX_SENDERS = 2 * MOST_PEERS
+MAX_SENDERS = 2 * MAX_PEERS
 
 PRINTABLE_ASCII = r"^[!-~]*\Z"  # so that a character is one byte
 Name = Annotated[str, Meta(min_length=1, max_length=48, pattern=PRINTABLE_ASCII)]
@@ -77,7 +77,7 @@
     incarnation: Natural
     topic: Word
     version: Natural
-    value: Annotated[bytes, Meta(max_length=MOST_VALUE)]
+    value: Annotated[bytes, Meta(max_length=MAX_VALUE)]
 
     def as_entry(self) -> Entry:
         """Convert to the form that components use."""
@@ -117,7 +117,7 @@
     """A message to the same component of another process."""
 
     component: Word
-    body: Annotated[bytes, Meta(max_length=MOST_BODY)]
+    body: Annotated[bytes, Meta(max_length=MAX_BODY)]
 
 
 class NameProbe(Struct, array_like=True, tag=6, frozen=True):
@@ -168,7 +168,7 @@
 
 
 def seal(
-    keys: Keys,
+    keys: KeyRing,
     sender: tuple[str, int, bytes],
     counter: int,
     to: bytes,
@@ -185,7 +185,7 @@
     return data
 
 
-def unseal(keys: Keys, data: bytes) -> Packet:
+def unseal(keys: KeyRing, data: bytes) -> Packet:
     """Authenticate and decode a datagram; WireTrouble if it is not valid."""
     if len(data) > MAX_DATAGRAM:
         raise WireTrouble("too large")
--- a/aspenrill/fleet/purges/folder.py
+++ b/aspenrill/fleet/purges/folder.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ...errors import PurgeFileTrouble
-from ..whole import write_whole
+from ..atomic_file import write_atomically
 from .orders import Order, parse
 
 MAX_FILES = 20  # files read at one SIGHUP; the remaining ones are read at the next
@@ -69,4 +69,4 @@
 
 def write_state(path: str, report: dict[str, Any]) -> None:
     """Writes a report as a JSON file atomically. Raises DiskTrouble."""
-    write_whole(Path(path), json.dumps(report, indent=1).encode())
+    write_atomically(Path(path), json.dumps(report, indent=1).encode())
--- a/aspenrill/fleet/purges/leases.py
+++ b/aspenrill/fleet/purges/leases.py
@@ -3,7 +3,7 @@
 Hierarchical leases after Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed
 file cache consistency" (1989): a granted lease ends before the node's own lease, and what a node reports as
 clear is clear at all nodes below it. A holder counts its lease from when it sent the request. The grantor
-records it until the holder must have stopped, whatever the drift of either clock (`DRIFT`).
+records it until the holder must have stopped, whatever the drift of either clock (`MAX_CLOCK_DRIFT`).
 
 A grant carries the serial up to which purges were known when it was given. Its holder applies those purges
 before it uses the lease, so nothing older than that serial is served under it. A node is clear up to a serial
@@ -16,7 +16,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from ..interface import DRIFT
+from ..interface import MAX_CLOCK_DRIFT
 from .wire import MAX_NAME_LENGTH, MAX_NAMES
 
 NEVER = float("-inf")
@@ -29,7 +29,7 @@
 
 def longest(lease: float) -> float:
     """Seconds until a lease granted by a coordinator has expired by any process's clock."""
-    return lease * (1 + DRIFT) + MARGIN
+    return lease * (1 + MAX_CLOCK_DRIFT) + MARGIN
 
 
 @dataclass(slots=True)
@@ -107,7 +107,7 @@
         if root_lease is not None:
             seconds, until = root_lease, now + longest(root_lease)
         else:
-            seconds, until = (self.lease_end - now) / (1 + DRIFT), self.lease_end
+            seconds, until = (self.lease_end - now) / (1 + MAX_CLOCK_DRIFT), self.lease_end
         if seconds < MIN_LEASE:
             return 0.0
         holder = self.holders.get(holder_id)
--- a/aspenrill/fleet/purges/origin.py
+++ b/aspenrill/fleet/purges/origin.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ..interface import Effect, Inform, Note, Store
+from ..interface import Effect, LogLine, Notify, Store
 from ..kept.scopes import ALL
 from . import wire
 from .spread import START, Position
@@ -109,7 +109,7 @@
                 saved = wire.saved(stored[key])
                 if saved is None or saved.incarnation > self.incarnation:
                     effects += [
-                        Note(
+                        LogLine(
                             f"fleet-state: record {key} is damaged and was ignored; "
                             "everything is purged instead"
                         ),
@@ -130,7 +130,7 @@
         If the incomplete purges no longer fit into a message, one purge of everything replaces them all.
         """
         if tag and any(purge.tag == tag for purge in self.out.values()):
-            return None, [Inform(Accepted(tag))]
+            return None, [Notify(Accepted(tag))]
         replaced: list[Purge] = []
         if sum(map(wire.size, self.items)) + wire.size((0, 0, scope)) > wire.MAX_LIST_BYTES:
             scope, replaced = ALL, list(self.out.values())
@@ -146,10 +146,12 @@
         effects += [Store(_key(old.position), None) for old in replaced]
         if replaced:
             effects.append(
-                Note(f"purges: {len(replaced)} from here are incomplete; replaced by a purge of everything")
+                LogLine(
+                    f"purges: {len(replaced)} from here are incomplete; replaced by a purge of everything"
+                )
             )
         if tag:
-            effects.append(Inform(Accepted(tag)))
+            effects.append(Notify(Accepted(tag)))
         return purge, effects
 
     def on_load(self, scope: str, ended: bool) -> list[Effect]:
@@ -207,7 +209,7 @@
         for purge in self.out.values():
             if not purge.durable:
                 purge.durable = True
-                found += [_store(purge)] + ([Inform(Accepted(purge.tag))] if purge.tag else [])
+                found += [_store(purge)] + ([Notify(Accepted(purge.tag))] if purge.tag else [])
         return found
 
     @property
@@ -251,7 +253,7 @@
                 self.completed.append(purge)
                 effects += [
                     Store(_key(purge.position), None),
-                    Inform(Complete(self.name, *purge.item, purge.tag)),
+                    Notify(Complete(self.name, *purge.item, purge.tag)),
                 ]
         return effects
 
--- a/aspenrill/fleet/purges/part.py
+++ b/aspenrill/fleet/purges/part.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Mapping
 
-from ..interface import Agreed, Authority, Effect, Entry, Member, Note, Post, Put, View
+from ..interface import Agreed, Authority, Effect, Entry, LogLine, Member, Post, Put, View
 from ..kept.front import LoadNews
 from ..kept.scopes import ALL, valid
 from ..kept.store import NEVER, Store
@@ -70,7 +70,7 @@
     def on_member(self, now: float, member: Member) -> list[Effect]:
         """The tree has changed; after a failure all purges are sent again."""
         self.tree.invalidate()
-        if not member.there:
+        if not member.is_live:
             self.origin.resend_now(now)
         return []
 
@@ -122,7 +122,7 @@
         """A record could not be written."""
         self.origin.on_disk()
         return [
-            Note(
+            LogLine(
                 f"fleet-disk: record {key} could not be written; the purge continues, and the record is "
                 "tried again; make room on the disk of [fleet] state"
             )
--- a/aspenrill/fleet/purges/tree.py
+++ b/aspenrill/fleet/purges/tree.py
@@ -37,7 +37,7 @@
         if self._stale:
             self._sites, self._ranked, self._stale = {}, {}, False
             for member in self._members().values():
-                if member.there:
+                if member.is_live:
                     place = member.place
                     self._sites.setdefault(place.site, {}).setdefault(place.building, []).append(member)
         return self._sites
--- a/aspenrill/fleet/request_feed.py
+++ b/aspenrill/fleet/request_feed.py
@@ -1,7 +1,7 @@
 """Feeds the components with the owner's and the decision module's state: demand, engines, written loads.
 
-The owner calls `asked`, `refused`, `probed` and `ended`, which only count. Twice a second `flush` passes on
-what has accumulated, together with the decision module's public attributes.
+The owner calls `on_request`, `on_refused`, `on_probe_result` and `on_attempt_ended`, which only count. Twice
+a second `flush` passes on what has accumulated, together with the decision module's public attributes.
 """
 
 from __future__ import annotations
@@ -35,19 +35,19 @@
 
     # ---- called by the owner ----------------------------------------------------------------------------
 
-    def asked(self, call: Call) -> None:
+    def on_request(self, call: Call) -> None:
         """A request is passed to the decision module."""
         self._requested[call.cls, call.tenant] += 1
 
-    def refused(self, call: Call) -> None:
+    def on_refused(self, call: Call) -> None:
         """A request was refused."""
         self._refused[call.cls, call.tenant] += 1
 
-    def probed(self, end: Probed) -> None:
+    def on_probe_result(self, end: Probed) -> None:
         """A probe has ended."""
         self._probed.append((end.peer.engine, end.outcome is api.Outcome.OK))
 
-    def ended(self, end: Ended) -> None:
+    def on_attempt_ended(self, end: Ended) -> None:
         """An attempt has succeeded: count what a load has written, by the bytes of its statement."""
         call, groups = end.attempt.call, self.components.groups
         if groups is None or call.data_set is None or not self.owner.settings.classes[call.cls].is_load:
@@ -92,7 +92,7 @@
         worth = [learned.spec.worth for learned in gateway.classes]
         for (cls, tenant), count in self._requested.items():
             for _ in range(count):
-                self.bridge.asked(now, cls, tenant, work[cls], worth[cls])
+                self.bridge.on_request(now, cls, tenant, work[cls], worth[cls])
         for (cls, tenant), count in self._refused.items():
             self.bridge.on_refused(now, cls, tenant, count * work[cls])
         self._requested.clear()
@@ -112,4 +112,4 @@
         cold = [e.entry.engine for e in gateway.live if now < e.cold_until]
         if (warm, cold) != self._last_engines:
             self._last_engines = warm, cold
-            self.bridge.engines(warm, cold)
+            self.bridge.set_engines(warm, cold)
--- a/aspenrill/fleet/service.py
+++ b/aspenrill/fleet/service.py
@@ -15,11 +15,11 @@
 from ..net.hub import Closed, Hub, TimedOut
 from .config import Config
 from .durable import DurableStore
-from .interface import Agreed, Effect, Entry, Inform, Member, Note, Part, Place, Post, Put, Store
-from .peers.events import Posted, Renamed, Self
+from .interface import Agreed, Component, Effect, Entry, LogLine, Member, Notify, Place, Post, Put, Store
+from .peers.events import IdentityChanged, LocalNode, MessageReceived
 from .peers.keys import read_keys
 from .peers.link import Link
-from .peers.node import Peers
+from .peers.node import PeerNode
 from .peers.wire import BOOT_ID_BYTES
 
 MAX_WAIT = 0.1  # seconds
@@ -65,7 +65,7 @@
 class MemberView:
     """Implements `interface.View` for the components."""
 
-    def __init__(self, peers: Peers) -> None:
+    def __init__(self, peers: PeerNode) -> None:
         self._peers = peers
 
     @property
@@ -89,11 +89,11 @@
 
     def entry(self, origin: str, topic: str) -> Entry | None:
         """The latest entry of an origin."""
-        return self._peers.board.entry(origin, topic)
+        return self._peers.shared.entry(origin, topic)
 
     def entries(self, topic: str) -> Iterable[Entry]:
         """The latest entry of each origin that is not dead."""
-        return self._peers.board.entries(topic)
+        return self._peers.shared.entries(topic)
 
 
 class Service:
@@ -105,7 +105,7 @@
         self,
         hub: Hub,
         config: Config,
-        components: Sequence[Part],
+        components: Sequence[Component],
         on_fact: Callable[[str, Any], None] = lambda component, fact: None,
         on_member_change: Callable[[Member], None] = lambda member: None,
     ) -> None:
@@ -123,10 +123,12 @@
             self.store.close()
             raise
         address = config.advertise or self.link.address
-        self.peers = self.link.peers = Peers(
-            Self(config.name, incarnation, os.urandom(BOOT_ID_BYTES), address, config.place, config.seeds),
+        self.peers = self.link.peers = PeerNode(
+            LocalNode(
+                config.name, incarnation, os.urandom(BOOT_ID_BYTES), address, config.place, config.seeds
+            ),
             keys,
-            config.pace,
+            config.timing,
             random.Random(os.urandom(16)),
             boottime(),
         )
@@ -171,7 +173,7 @@
             f"fleet: {self.config.name} at {self.address[0]}:{self.address[1]}, "
             f"incarnation {self.view.incarnation}"
         )
-        started: list[tuple[Part, list[Effect]]] = []
+        started: list[tuple[Component, list[Effect]]] = []
         try:
             for component in self.components:
                 records = self.store.records(component.name)
@@ -248,12 +250,12 @@
                 for component in self._active_components():
                     if event.topic in component.topics:
                         self._call(component, component.on_entry, now, event)
-            case Posted(component, sender, incarnation, body):
+            case MessageReceived(component, sender, incarnation, body):
                 self._deliver(component, sender, incarnation, body)
-            case Renamed(incarnation, trouble):
+            case IdentityChanged(incarnation, trouble):
                 self._on_identity_changed(incarnation, trouble)
 
-    def _active_components(self) -> Sequence[Part]:
+    def _active_components(self) -> Sequence[Component]:
         return () if self.fenced or self._leaving else self.components
 
     def _deliver(self, name: str, sender: str, incarnation: int, body: bytes) -> None:
@@ -271,7 +273,7 @@
 
     # ---- effects --------------------------------------------------------------------------------------
 
-    def _call(self, component: Part, call: Callable[..., list[Effect]], *args: Any) -> None:
+    def _call(self, component: Component, call: Callable[..., list[Effect]], *args: Any) -> None:
         """Call a component; an exception ends only this call."""
         try:
             effects = call(*args)
@@ -281,7 +283,7 @@
             return
         self.execute(component, effects)
 
-    def execute(self, component: Part, effects: Sequence[Effect]) -> None:
+    def execute(self, component: Component, effects: Sequence[Effect]) -> None:
         """Execute effects in order. Callers of a component from outside the service pass its effects here."""
         for effect in effects:
             match effect:
@@ -299,19 +301,19 @@
                         self._call_checked(component, self.peers.post, boottime(), to, component.name, body)
                 case Put(topic, value):
                     self._call_checked(component, self.peers.put, boottime(), topic, value)
-                case Inform(fact):
+                case Notify(fact):
                     self._on_fact(component, fact)
-                case Note(text):
+                case LogLine(text):
                     self.log(component.name, text)
 
-    def _call_checked(self, component: Part, call: Callable[..., Any], *args: Any) -> None:
+    def _call_checked(self, component: Component, call: Callable[..., Any], *args: Any) -> None:
         try:
             call(*args)
         except ValueError as why:
             self.faults += 1
             self.hub.report(f"fleet {component.name}: {why}")
 
-    def _on_fact(self, component: Part, fact: Any) -> None:
+    def _on_fact(self, component: Component, fact: Any) -> None:
         if component.name == "authority" and isinstance(fact, Agreed):
             for other in self.components:
                 if fact.kind in getattr(other, "kinds", ()):
@@ -333,12 +335,12 @@
             raise FleetConfigTrouble("name and fleet cannot change without a new start")
         self.peers.keys = read_keys(config.key_file, config.fleet)
         self.peers.seeds = config.seeds
-        if (config.listen, config.advertise, config.place, config.voters, config.pace) != (
+        if (config.listen, config.advertise, config.place, config.voters, config.timing) != (
             self.config.listen,
             self.config.advertise,
             self.config.place,
             self.config.voters,
-            self.config.pace,
+            self.config.timing,
         ):
             self.hub.log("fleet: addresses, place, voters and times take effect at the next start")
         self.hub.log("fleet: keys and seeds read again")
--- a/benchmarks/fleet_authority.py
+++ b/benchmarks/fleet_authority.py
@@ -16,7 +16,7 @@
 from collections import Counter
 
 from aspenrill.fleet.authority import AuthorityPart, Rules
-from aspenrill.fleet.interface import Agreed, Inform, Post, Put
+from aspenrill.fleet.interface import Agreed, Notify, Post, Put
 from standins.cluster import LOOK, Cluster
 from standins.faults import Link
 
@@ -55,7 +55,7 @@
     def _effect(self, proc, part, effect) -> None:
         if isinstance(effect, Post):
             self.messages_sent[proc.name] += 1
-        elif isinstance(effect, Inform) and isinstance(effect.fact, Agreed):
+        elif isinstance(effect, Notify) and isinstance(effect.fact, Agreed):
             self.notified_at.setdefault(effect.fact.number, []).append(self.now)
             return
         elif isinstance(effect, Put):
--- a/benchmarks/fleet_overload.py
+++ b/benchmarks/fleet_overload.py
@@ -21,8 +21,8 @@
 
 from aspenrill.fleet.interface import Entry, Member, Place, Post, Put, State
 from aspenrill.fleet.overload.bridge import Bridge
-from aspenrill.fleet.overload.part import OverloadPart
-from aspenrill.fleet.overload.probes import Probes
+from aspenrill.fleet.overload.part import OverloadComponent
+from aspenrill.fleet.overload.probes import ProbeSchedule
 from aspenrill.fleet.overload.rules import Rules
 
 STEP_S = 0.05  # seconds of a simulation step
@@ -51,11 +51,11 @@
 
     def start_component(self, rules: Rules) -> None:
         """Start the overload component."""
-        part = OverloadPart(rules)
+        part = OverloadComponent(rules)
         self.bridge = Bridge(part)
         self.apply_effects(part.on_start(self.now, self, {}))
         self.bridge.started()
-        self.bridge.engines([("pool", float(self.fleet.pool))], [])
+        self.bridge.set_engines([("pool", float(self.fleet.pool))], [])
 
     @property
     def now(self) -> float:
@@ -94,7 +94,7 @@
                 self.fleet.offered_worth += worth
                 self.queue.append((-worth / work, now + time_budget, work, worth))
                 if self.bridge:
-                    self.bridge.asked(self.now, cls, 0, work, worth)
+                    self.bridge.on_request(self.now, cls, 0, work, worth)
 
     def start_requests(self) -> None:
         """Drop requests that can't end in time, and start those with the most worth per work."""
@@ -293,23 +293,23 @@
 def count_probes(count: int, seconds: float = 120.0) -> int:
     """Count probes of one engine that stays out, ejected by all at once; results spread in half a second."""
     names = [f"p{i}" for i in range(count)]
-    peers = [Probes(name) for name in names]
+    peers = [ProbeSchedule(name) for name in names]
     for peer in peers:
-        peer.engines(["e"])
-        peer.live(names)
-        peer.eject(0.0, "e")
+        peer.set_engines(["e"])
+        peer.set_live(names)
+        peer.on_ejected(0.0, "e")
     probes, deliveries = 0, []
     for step in range(int(seconds / 0.25)):
         now = step * 0.25
         for _, origin, value in [m for m in deliveries if m[0] <= now]:
             for peer in peers:
                 if peer.name != origin:
-                    peer.hear(now, origin, 1, value)
+                    peer.on_entry(now, origin, 1, value)
         deliveries = [m for m in deliveries if m[0] > now]
         for peer in peers:
             for engine in peer.due(now):
                 probes += 1
-                peer.answered(now, engine, False)
+                peer.on_answer(now, engine, False)
                 deliveries.append((now + ENTRY_DELAY_S, peer.name, peer.entry()))
     return probes
 
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -12,10 +12,10 @@
 raised again as `Broken` with seed and time; the same seed repeats the run. `world.net`, a `faults.Weather`,
 has loss, delays, cuts and partitions; `world.before` is called with (proc, part, effect) before each effect
 and may inject any fault. Effects are carried out in order, as in a real process; a Store that fails drops the
-remaining ones of its call, and `Inform(Agreed)` of the component "authority" goes to the components of that
+remaining ones of its call, and `Notify(Agreed)` of the component "authority" goes to the components of that
 process whose `kinds` include it. All facts are in `proc.facts` as (world time, component name, fact). At each
-start a process gets a clock with any offset and a rate off by up to DRIFT, which runs on while the process is
-paused.
+start a process gets a clock with any offset and a rate off by up to MAX_CLOCK_DRIFT, which runs on while the
+process is paused.
 
 Membership comes from an oracle that is late and may be wrong: each observer suspects a process that it cannot
 reach in both directions, later takes it for dead, and for alive once it can reach it again.
@@ -30,16 +30,16 @@
 
 from aspenrill.errors import Trouble
 from aspenrill.fleet.interface import (
-    DRIFT,
-    MOST_BODY,
-    MOST_VALUE,
+    MAX_BODY,
+    MAX_CLOCK_DRIFT,
+    MAX_VALUE,
     Agreed,
+    Component,
     Effect,
     Entry,
-    Inform,
+    LogLine,
     Member,
-    Note,
-    Part,
+    Notify,
     Place,
     Post,
     Put,
@@ -62,7 +62,7 @@
         self,
         seed: int,
         names: Iterable[str],
-        make: Callable[[str, random.Random], Sequence[Part]],
+        make: Callable[[str, random.Random], Sequence[Component]],
         places: Mapping[str, Place] | None = None,
         checks: Sequence[Callable[[Cluster], None]] = (),
         link: Link = CALM,
@@ -71,7 +71,7 @@
         self.seed, self.now, self.make, self.checks = seed, 0.0, make, list(checks)
         self.net = Weather(seed, link)
         self.garbage = garbage  # share of messages that are followed by a truncated copy
-        self.before: Callable[[Proc, Part, Effect], None] | None = None
+        self.before: Callable[[Proc, Component, Effect], None] | None = None
         self.steps = 0
         self._rng = random.Random(f"{seed}/world")
         self._heap: list[tuple[float, int, str, int, Callable, tuple]] = []
@@ -151,7 +151,9 @@
         proc.life += 1
         proc.incarnation += 1
         proc.reset()
-        proc.clock_rate = 1 + DRIFT * self._rng.choice((-0.49, 0.49, self._rng.uniform(-0.49, 0.49)))
+        proc.clock_rate = 1 + MAX_CLOCK_DRIFT * self._rng.choice(
+            (-0.49, 0.49, self._rng.uniform(-0.49, 0.49))
+        )
         proc.clock_zero = self._rng.uniform(0.0, 1e6)
         if disk == "lost":
             proc.kept.clear()
@@ -240,7 +242,7 @@
         for call, args in queued:
             self._at(0.0, proc.name, call, *args)
 
-    def _tick(self, proc: Proc, part: Part) -> None:
+    def _tick(self, proc: Proc, part: Component) -> None:
         self._at(
             part.period * self._rng.uniform(0.8, 1.0) / proc.clock_rate, proc.name, self._tick, proc, part
         )
@@ -248,7 +250,7 @@
 
     # ---- effects and calls to components ----------------------------------------------------------------
 
-    def _apply_effects(self, proc: Proc, part: Part, effects: Sequence[Effect]) -> None:
+    def _apply_effects(self, proc: Proc, part: Component, effects: Sequence[Effect]) -> None:
         life = proc.life
         for number, effect in enumerate(effects):
             if self.before is not None and proc.up and not proc.paused:
@@ -271,12 +273,12 @@
         if not left:
             self.crash(proc.name) if what == "crash" else self.pause(proc.name, seconds)
 
-    def _effect(self, proc: Proc, part: Part, effect: Effect) -> None:
+    def _effect(self, proc: Proc, part: Component, effect: Effect) -> None:
         if isinstance(effect, Put):
-            assert len(effect.value) <= MOST_VALUE, f"{part.name}: {len(effect.value)} bytes: {effect.topic}"
+            assert len(effect.value) <= MAX_VALUE, f"{part.name}: {len(effect.value)} bytes: {effect.topic}"
             self._put(proc, effect)
         elif isinstance(effect, Post):
-            assert len(effect.body) <= MOST_BODY, f"{part.name}: {len(effect.body)} bytes to {effect.to}"
+            assert len(effect.body) <= MAX_BODY, f"{part.name}: {len(effect.body)} bytes to {effect.to}"
             self._post(proc, part.name, effect)
         elif isinstance(effect, Store):
             records = proc.kept.setdefault(part.name, {})
@@ -284,13 +286,13 @@
                 records.pop(effect.key, None)
             else:
                 records[effect.key] = effect.value
-        elif isinstance(effect, Inform):
+        elif isinstance(effect, Notify):
             proc.facts.append((self.now, part.name, effect.fact))
             if part.name == "authority" and isinstance(effect.fact, Agreed):
                 for other in proc.parts:
                     if effect.fact.kind in getattr(other, "kinds", ()):
                         self._apply_effects(proc, other, other.on_agreed(proc.clock(), effect.fact))
-        elif isinstance(effect, Note):
+        elif isinstance(effect, LogLine):
             proc.notes.append(effect.text)
         else:
             raise TypeError(f"{part.name}: no effect: {effect!r}")
@@ -385,7 +387,7 @@
 
     def _sync_from(self, proc: Proc, other: Proc) -> None:
         for member in list(other.known.values()):
-            if member.name not in proc.known and member.there:
+            if member.name not in proc.known and member.is_live:
                 self._update_member(proc, member)
         for about in list(other.told.values()):
             for entry in list(about.values()):
--- a/standins/groups.py
+++ b/standins/groups.py
@@ -13,7 +13,7 @@
 from aspenrill.fleet.groups.schedule import ScheduleRules
 from aspenrill.fleet.groups.splits import Facts, MapNews, SplitRules, WarmNews
 from aspenrill.fleet.groups.telling import TellRules
-from aspenrill.fleet.interface import Agreed, Inform
+from aspenrill.fleet.interface import Agreed, Notify
 from standins.cluster import Cluster
 from standins.faults import CALM
 from standins.quiet import Quiet
@@ -145,7 +145,7 @@
         new, self.reported = ledger.log[self.reported :], len(ledger.log)
         last = {(r.kind, r.key): r.number for r in new}
         latest_only = ledger.rng.random() < 0.5  # informs only of the latest record of each key
-        return [Inform(r) for r in new if not latest_only or last[r.kind, r.key] == r.number]
+        return [Notify(r) for r in new if not latest_only or last[r.kind, r.key] == r.number]
 
 
 class Owner(Quiet):
--- a/standins/peered.py
+++ b/standins/peered.py
@@ -11,24 +11,24 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from aspenrill.errors import NameTrouble, WireTrouble
-from aspenrill.fleet.interface import Effect, Entry, Member, Part, Place, Post, Put
-from aspenrill.fleet.peers.detector import Pace
-from aspenrill.fleet.peers.events import Address, Event, Posted, Renamed, Self
-from aspenrill.fleet.peers.keys import Keys
-from aspenrill.fleet.peers.node import Peers
+from aspenrill.fleet.interface import Component, Effect, Entry, Member, Place, Post, Put
+from aspenrill.fleet.peers.detector import Timing
+from aspenrill.fleet.peers.events import Address, Event, IdentityChanged, LocalNode, MessageReceived
+from aspenrill.fleet.peers.keys import KeyRing
+from aspenrill.fleet.peers.node import PeerNode
 
 from .cluster import Cluster
 from .proc import Proc
 
-DEFAULT_PACE = Pace()
+DEFAULT_PACE = Timing()
 SEED_COUNT = 3  # the first processes are the seeds
-KEYS = Keys("cluster", [b"k" * 32])
+KEYS = KeyRing("cluster", [b"k" * 32])
 
 
 class PeeredProc(Proc):
     """A process with a peer state machine of its own."""
 
-    peers: Peers
+    peers: PeerNode
     trouble: NameTrouble | None = None
 
     def members(self) -> Mapping[str, Member]:
@@ -37,18 +37,18 @@
 
     def entry(self, origin: str, topic: str) -> Entry | None:
         """See View."""
-        return self.peers.board.entry(origin, topic)
+        return self.peers.shared.entry(origin, topic)
 
     def entries(self, topic: str) -> Iterable[Entry]:
         """See View."""
-        return self.peers.board.entries(topic)
+        return self.peers.shared.entries(topic)
 
 
 class PeeredCluster(Cluster):
     """A Cluster whose membership comes from the peer protocol."""
 
-    def __init__(self, *args, pace: Pace = DEFAULT_PACE, **more) -> None:
-        self.pace, self.by_address = pace, {}
+    def __init__(self, *args, timing: Timing = DEFAULT_PACE, **more) -> None:
+        self.timing, self.by_address = timing, {}
         super().__init__(*args, **more)
 
     def new(self, name: str, place: Place) -> PeeredProc:
@@ -62,8 +62,8 @@
     def _join(self, proc: PeeredProc) -> None:
         rng = self.net.draw(proc.name, "", "peers")
         seeds = tuple(list(self.by_address)[:SEED_COUNT])
-        me = Self(proc.name, proc.incarnation, rng.randbytes(8), proc.address, proc.place, seeds)
-        proc.peers, proc.trouble = Peers(me, KEYS, self.pace, rng, proc.clock()), None
+        me = LocalNode(proc.name, proc.incarnation, rng.randbytes(8), proc.address, proc.place, seeds)
+        proc.peers, proc.trouble = PeerNode(me, KEYS, self.timing, rng, proc.clock()), None
         proc.peers.take_events()  # drop the events about itself
 
     def _look(self, proc: PeeredProc) -> None:
@@ -87,7 +87,7 @@
         else:
             proc.peers.post(proc.clock(), post.to, part, post.body)
 
-    def _apply_effects(self, proc: PeeredProc, part: Part, effects: Sequence[Effect]) -> None:
+    def _apply_effects(self, proc: PeeredProc, part: Component, effects: Sequence[Effect]) -> None:
         super()._apply_effects(proc, part, effects)
         self._send_datagrams(proc)
 
@@ -96,7 +96,7 @@
         self._flush_output(proc)
 
     def _send_datagrams(self, proc: PeeredProc) -> None:
-        for address, data in proc.peers.take_out():
+        for address, data in proc.peers.take_datagrams():
             other = self.by_address.get(address)
             if other is None or not other.up:
                 continue
@@ -105,8 +105,8 @@
 
     def _flush_output(self, proc: PeeredProc) -> None:
         self._send_datagrams(proc)
-        for _, address, life in proc.peers.take_syncs():
-            self._at(self._rng.random() * 0.05, proc.name, self._run_exchange, proc, address, life)
+        for _, address, boot_id in proc.peers.take_syncs():
+            self._at(self._rng.random() * 0.05, proc.name, self._run_exchange, proc, address, boot_id)
         for event in proc.peers.take_events():
             if proc.paused:
                 proc.queued_calls.append((self._handle_event, (proc, event)))
@@ -118,22 +118,22 @@
             self._notify_member(proc, event)
         elif isinstance(event, Entry):
             self._notify_entry(proc, event)
-        elif isinstance(event, Posted):
-            self._deliver_message(proc, event.part, event.sender, event.incarnation, event.body)
-        elif isinstance(event, Renamed):
+        elif isinstance(event, MessageReceived):
+            self._deliver_message(proc, event.component, event.sender, event.incarnation, event.body)
+        elif isinstance(event, IdentityChanged):
             proc.incarnation, proc.trouble = event.incarnation, event.trouble
 
-    def _run_exchange(self, proc: PeeredProc, address: Address, life: bytes) -> None:
+    def _run_exchange(self, proc: PeeredProc, address: Address, boot_id: bytes) -> None:
         other = self.by_address.get(address)
         if other is None or not self._can_exchange(proc, other):
             return
         nonce = self._rng.randbytes
-        sides = proc.peers.calling(life, nonce(16)), other.peers.called(nonce(16))
-        frames = [(1, sides[0].greet())]
+        sides = proc.peers.start_exchange(boot_id, nonce(16)), other.peers.accept_exchange(nonce(16))
+        frames = [(1, sides[0].start())]
         try:
             while frames and self._can_exchange(proc, other):
                 to, frame = frames.pop(0)
-                frames += [(1 - to, more) for more in sides[to].take((proc, other)[to].clock(), frame)]
+                frames += [(1 - to, more) for more in sides[to].receive((proc, other)[to].clock(), frame)]
         except WireTrouble:
             pass  # the other process has been restarted since, which is legal
         self._flush_output(other)
--- a/standins/peersim.py
+++ b/standins/peersim.py
@@ -20,10 +20,10 @@
 
 from aspenrill.errors import WireTrouble
 from aspenrill.fleet.interface import Member, Place, State
-from aspenrill.fleet.peers.detector import Pace
-from aspenrill.fleet.peers.events import Renamed, Self
-from aspenrill.fleet.peers.keys import Keys
-from aspenrill.fleet.peers.node import Peers
+from aspenrill.fleet.peers.detector import Timing
+from aspenrill.fleet.peers.events import IdentityChanged, LocalNode
+from aspenrill.fleet.peers.keys import KeyRing
+from aspenrill.fleet.peers.node import PeerNode
 
 KEY = b"k" * 32
 SOCKET_QUEUE_LENGTH = 512  # datagrams that the socket of a paused process queues
@@ -38,16 +38,16 @@
         size: int,
         loss: float = 0.0,
         delay: float = 0.0005,
-        pace: Pace | None = None,
-        make: Callable[..., Peers] = Peers,
+        timing: Timing | None = None,
+        make: Callable[..., PeerNode] = PeerNode,
         seeds: int = 2,
         together: float = 1.0,
     ) -> None:
         self.rng = random.Random(f"{seed}/sim")
         self.seed, self.now, self.loss, self.delay = seed, 100.0, loss, delay
-        self.pace, self.make, self.keys = pace or Pace(), make, Keys("sim", [KEY])
+        self.timing, self.make, self.keys = timing or Timing(), make, KeyRing("sim", [KEY])
         self.seeds = tuple(("10.0.0.1", 1000 + at) for at in range(seeds))
-        self.nodes: dict[str, Peers] = {}
+        self.nodes: dict[str, PeerNode] = {}
         self.by_address: dict[tuple[str, int], str] = {}
         self.paused: dict[str, deque] = {}
         self.partition: list[set[str]] = []
@@ -72,10 +72,10 @@
         label = label or name
         self._start_count += 1
         rng = random.Random(f"{self.seed}/{label}/{self._start_count}")
-        me = Self(
+        me = LocalNode(
             name, int(self.now * 1000) + self._start_count, rng.randbytes(8), address, Place("s"), self.seeds
         )
-        self.nodes[label] = self.make(me, self.keys, self.pace, rng, self.now)
+        self.nodes[label] = self.make(me, self.keys, self.timing, rng, self.now)
         self.by_address[address] = label
         self.calls.setdefault(label, [])
         self.bytes.setdefault(label, 0)
@@ -88,13 +88,13 @@
             for one in records:
                 if one is not node.table.me:
                     node.table.merge(self.now, one)
-                    node.table.rumours.drop(one.name)
-            node._sync_wait = self.pace.sync
+                    node.table.gossip.drop(one.name)
+            node._sync_wait = self.timing.sync_interval
             node._sync_at = self.now + self.rng.random() * node._sync_period()
             node.syncs.clear()
             self._process_output(name)
 
-    def kill(self, name: str) -> Peers:
+    def kill(self, name: str) -> PeerNode:
         """Kill a process without notice; return its peer."""
         node = self.nodes.pop(name)
         del self.by_address[node.table.me.host, node.table.me.port]
@@ -160,11 +160,11 @@
     def _process_output(self, name: str) -> None:
         node = self.nodes[name]
         self.calls[name] += [(self.now, event) for event in node.take_events()]
-        for address, data in node.take_out():
+        for address, data in node.take_datagrams():
             self.bytes[name] += len(data)
             self._send(name, address, data)
-        for other, address, life in node.take_syncs():
-            self._exchange(name, self.by_address.get(address, other), life)
+        for other, address, boot_id in node.take_syncs():
+            self._exchange(name, self.by_address.get(address, other), boot_id)
         due = max(self.now + 0.001, node.next_due())
         known = self._next_due.get(name)
         if known is None or due < known:
@@ -201,7 +201,7 @@
             self.nodes[to].on_datagram(self.now, address, data)
             self._process_output(to)
 
-    def _exchange(self, caller: str, called: str, life: bytes) -> None:
+    def _exchange(self, caller: str, called: str, boot_id: bytes) -> None:
         caller_node, called_node = self.nodes[caller], self.nodes.get(called)
         if (
             called_node is None
@@ -212,18 +212,21 @@
             caller_node.sync_failed(self.now)
             return
         nonce = self.rng.randbytes
-        ends = {True: caller_node.calling(life, nonce(16)), False: called_node.called(nonce(16))}
-        frames = deque([(False, ends[True].greet())])
+        ends = {
+            True: caller_node.start_exchange(boot_id, nonce(16)),
+            False: called_node.accept_exchange(nonce(16)),
+        }
+        frames = deque([(False, ends[True].start())])
         try:
             while frames:
                 to, frame = frames.popleft()
                 self.bytes[caller if not to else called] += len(frame)
-                frames += [(not to, data) for data in ends[to].take(self.now, frame)]
+                frames += [(not to, data) for data in ends[to].receive(self.now, frame)]
         except WireTrouble as why:
             called_node.refuse(why, ("10.0.0.1", 0))
             caller_node.sync_failed(self.now)
             return
-        assert ends[True].over and ends[False].over
+        assert ends[True].done and ends[False].done
         self.exchange_count += 1
         self._at(0.0, self._tick, called)
         self._at(0.0, self._tick, caller)
@@ -255,6 +258,6 @@
             if at >= since and isinstance(event, Member) and event.state is State.DEAD
         ]
 
-    def troubles(self, label: str) -> list[Renamed]:
+    def troubles(self, label: str) -> list[IdentityChanged]:
         """Return the name conflict events of one process."""
-        return [event for _, event in self.calls[label] if isinstance(event, Renamed)]
+        return [event for _, event in self.calls[label] if isinstance(event, IdentityChanged)]
--- a/standins/proc.py
+++ b/standins/proc.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from aspenrill.fleet.interface import Effect, Entry, Member, Part, Place, Put, State
+from aspenrill.fleet.interface import Component, Effect, Entry, Member, Place, Put, State
 
 if TYPE_CHECKING:
     from .cluster import Cluster
@@ -35,13 +35,13 @@
 
     def reset(self) -> None:
         """Clear everything that was in memory."""
-        self.parts: tuple[Part, ...] = ()
+        self.parts: tuple[Component, ...] = ()
         self.known: dict[str, Member] = {}
         self.told: dict[str, dict[str, Entry]] = {}
         self.last_contact: dict[str, float] = {}
         self.forced_states: dict[str, tuple[State, float]] = {}
         self.queued_calls: list[tuple[Callable, tuple]] = []
-        self.deferred_effects: list[tuple[Part, Sequence[Effect]]] = []
+        self.deferred_effects: list[tuple[Component, Sequence[Effect]]] = []
         self.trip: tuple[int, str, float] | None = None
 
     def clock(self) -> float:
@@ -66,7 +66,7 @@
         return [
             entry
             for origin, entry in self.told.get(topic, {}).items()
-            if entry.value and origin in self.known and self.known[origin].there
+            if entry.value and origin in self.known and self.known[origin].is_live
         ]
 
     # ---- membership and entries -----------------------------------------------------------------------
--- a/standins/purging.py
+++ b/standins/purging.py
@@ -14,7 +14,7 @@
 from collections.abc import Mapping, Sequence
 
 from aspenrill.core.books import Call, Result
-from aspenrill.fleet.interface import Agreed, Effect, Inform, Place, Post, View
+from aspenrill.fleet.interface import Agreed, Effect, Notify, Place, Post, View
 from aspenrill.fleet.interface import Store as Saves
 from aspenrill.fleet.kept.front import Joined, Kept
 from aspenrill.fleet.kept.policy import Policy, Rule
@@ -124,7 +124,7 @@
         if state.holder != self.me:
             reported = reported[: self.rng.randint(1, 3)]
         self.last_number = reported[-1].number if reported else len(state.log)
-        return [Inform(record) for record in reported]
+        return [Notify(record) for record in reported]
 
     def on_leave(self, now: float) -> list[Effect]:
         """Give up the lease."""
@@ -168,7 +168,7 @@
                 for incarnation, number, _, complete in reported.items:
                     if complete:
                         self.on_complete(now, (what.to, incarnation, number))
-        elif isinstance(what, Inform) and isinstance(what.fact, Complete):
+        elif isinstance(what, Notify) and isinstance(what.fact, Complete):
             self.on_complete(now, (what.fact.origin, what.fact.incarnation, what.fact.number))
 
     def on_complete(self, now: float, purge_id: tuple[str, int, int]) -> None:
--- a/tests/authority_world.py
+++ b/tests/authority_world.py
@@ -5,7 +5,7 @@
 import random
 
 from aspenrill.fleet.authority import AuthorityPart, Rules
-from aspenrill.fleet.interface import Agreed, Inform
+from aspenrill.fleet.interface import Agreed, Notify
 from standins.cluster import Cluster
 
 
@@ -30,7 +30,7 @@
 
     def _effect(self, proc, part, effect) -> None:
         super()._effect(proc, part, effect)
-        if isinstance(effect, Inform):
+        if isinstance(effect, Notify):
             record, life_id = effect.fact, (proc.name, proc.life)
             assert record.number > self.last_reported.get(life_id, 0), f"{proc.name}: {record.number} is late"
             self.last_reported[life_id] = record.number
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -12,7 +12,7 @@
 from aspenrill.fleet.authority import table as table_module
 from aspenrill.fleet.authority.table import Table
 from aspenrill.fleet.authority.wire import Accept, Accepted, Chunk, Record, decode, encode
-from aspenrill.fleet.interface import MOST_BODY
+from aspenrill.fleet.interface import MAX_BODY
 
 
 def record(number: int, key: str, body: bytes = b"x") -> Record:
@@ -135,7 +135,7 @@
         chunk = rng.choice(chunks)
         if chunk.after <= late.last < chunk.to:
             late.apply(chunk.records, chunk.to)
-    assert late.latest == complete.latest and all(len(encode(chunk)) <= MOST_BODY for chunk in chunks)
+    assert late.latest == complete.latest and all(len(encode(chunk)) <= MAX_BODY for chunk in chunks)
 
 
 def test_impossible_table_transfer_is_refused():
@@ -155,8 +155,8 @@
     largest = Record(2**40, 2**40, "k" * 24, "y" * 160, b"x" * 600)
     high = 2**40
     for message in (Chunk(high, high, high, high, high, [largest]), Accept(high, high, high, [largest])):
-        assert len(encode(message)) <= MOST_BODY and decode(encode(message)) == message
-    assert len(encode(Accepted(2**40, largest))) <= MOST_BODY
+        assert len(encode(message)) <= MAX_BODY and decode(encode(message)) == message
+    assert len(encode(Accepted(2**40, largest))) <= MAX_BODY
     w = World(17, 1, 1)
     assert w.until(w.ready, 30)
     w.propose("key", b"x" * 601)
--- a/tests/test_authority_world.py
+++ b/tests/test_authority_world.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from aspenrill.fleet.authority import AuthorityPart
-from aspenrill.fleet.interface import Inform, Store
+from aspenrill.fleet.interface import Notify, Store
 from standins.faults import Link, schedule
 
 VIOLATIONS = "two |another one|used twice|not all know|changed"
@@ -120,7 +120,7 @@
     world.procs[voter].parts[0].election.leaving = True  # so that the other process becomes the candidate
 
     def cut(proc, part, effect):
-        if proc.name == new and isinstance(effect, Inform):
+        if proc.name == new and isinstance(effect, Notify):
             world.net.cut(new, voter)
 
     world.before = cut
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -8,7 +8,7 @@
 import pytest
 
 from aspenrill.errors import StateTrouble
-from aspenrill.fleet.interface import DRIFT, Agreed, Inform, Note, Post, Put, State, Store
+from aspenrill.fleet.interface import MAX_CLOCK_DRIFT, Agreed, LogLine, Notify, Post, Put, State, Store
 from standins.cluster import Broken, Cluster
 from standins.faults import Link, schedule
 from standins.peered import PeeredCluster
@@ -46,7 +46,7 @@
         return []
 
     def on_disk(self, now, key):
-        return [Note(f"no room for {key}")]
+        return [LogLine(f"no room for {key}")]
 
     def on_leave(self, now):
         return []
@@ -60,13 +60,13 @@
 
     def on_start(self, now, view, stored):
         super().on_start(now, view, stored)
-        self.lent_until = now + LEASE * (1 + DRIFT) + MARGIN if self.waits else 0.0
+        self.lent_until = now + LEASE * (1 + MAX_CLOCK_DRIFT) + MARGIN if self.waits else 0.0
         self.asked, self.held, self.seen = {}, {}, now
         return []
 
     def on_tick(self, now):
         self.seen = now
-        others = [n for n, m in self.view.members().items() if m.there and n != self.view.name]
+        others = [n for n, m in self.view.members().items() if m.is_live and n != self.view.name]
         if not others or self.rng.random() < 0.3:
             return []
         other = self.rng.choice(sorted(others))
@@ -80,7 +80,7 @@
         except msgspec.DecodeError:
             return []
         if what == "ask" and now >= self.lent_until:
-            self.lent_until = now + LEASE * (1 + DRIFT) + MARGIN
+            self.lent_until = now + LEASE * (1 + MAX_CLOCK_DRIFT) + MARGIN
             return [Post(sender, msgspec.msgpack.encode(["grant", stamp]))]
         if what == "grant" and self.asked.get(sender) == stamp:
             self.held[sender] = (self.asked.pop(sender) if self.from_request else now) + LEASE
@@ -169,7 +169,7 @@
     assert world.until(lambda: dead() == [2, 2, 2, 2], 20)
     world.net.part(["a", "c"])
     known = world.procs["a"].known
-    assert world.until(lambda: known["c"].there and not known["b"].there, 20)
+    assert world.until(lambda: known["c"].is_live and not known["b"].is_live, 20)
     world.net.heal()
     assert world.until(lambda: dead() == [0, 0, 0, 0], 20)
 
@@ -223,7 +223,7 @@
     assert not [row for row in log if len(row) == 3] and world.procs["b"].known["a"].state is State.DEAD
     world.run(2.0)
     assert len([row for row in log if len(row) == 3]) == 5
-    assert abs(world.procs["a"].clock() - before - 21.0) < 21.0 * DRIFT
+    assert abs(world.procs["a"].clock() - before - 21.0) < 21.0 * MAX_CLOCK_DRIFT
 
 
 def test_a_trip_interrupts_between_two_effects():
@@ -248,7 +248,7 @@
     world = quiet(Careful)
     world.do("a", lambda p: [Store("k", b"good")])
     world.disk("a", "full")
-    world.do("a", lambda p: [Note("before"), Store("k", b"bad"), Note("behind")])
+    world.do("a", lambda p: [LogLine("before"), Store("k", b"bad"), LogLine("behind")])
     assert world.procs["a"].notes == ["before", "no room for k"]
     for disk, stored in (("kept", {"k": b"good"}), ("damaged", None), ("lost", {})):
         world.crash("a")
@@ -267,11 +267,11 @@
         name, kinds = "follower", ("split",)
 
         def on_agreed(self, now, record):
-            return [Note(f"{record.kind} {record.number}")]
+            return [LogLine(f"{record.kind} {record.number}")]
 
     world = quiet(Quiet, Authority, Follower)
     records = [Agreed(n, 1, kind, "k", b"") for n, kind in ((1, "split"), (2, "purge"), (3, "split"))]
-    world.do("a", lambda p: [Inform(record) for record in records], "authority")
+    world.do("a", lambda p: [Notify(record) for record in records], "authority")
     assert world.procs["a"].notes == ["split 1", "split 3"] and len(world.procs["a"].facts) == 3
     assert not world.procs["b"].notes
 
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -324,7 +324,7 @@
 
 def test_the_feed_passes_on_demand_engines_and_loads(front):
     bridge = SimpleNamespace(calls=[])
-    for name in ("asked", "on_refused", "set_load", "engines", "on_ejected", "on_probed"):
+    for name in ("on_request", "on_refused", "set_load", "set_engines", "on_ejected", "on_probed"):
         setattr(bridge, name, lambda *args, name=name: bridge.calls.append((name, *args)))
     counted = []
     groups = SimpleNamespace(
@@ -337,8 +337,8 @@
     assert counted == [(17, 1, 33, 250)]
     feed.flush(5.0)
     names = [call[0] for call in bridge.calls]
-    assert names == ["asked", "asked", "set_load", "engines"]
-    assert bridge.calls[0][:4] == ("asked", 5.0, 0, 0) and bridge.calls[0][5] == 2.0
+    assert names == ["on_request", "on_request", "set_load", "set_engines"]
+    assert bridge.calls[0][:4] == ("on_request", 5.0, 0, 0) and bridge.calls[0][5] == 2.0
     assert bridge.calls[2][1] == 1 and bridge.calls[3][1:] == (
         [("x", pytest.approx(13.6)), ("y", pytest.approx(13.6))],
         [],
--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -10,8 +10,8 @@
 from msgspec import structs
 
 from aspenrill.fleet.interface import Entry, Member, State
-from aspenrill.fleet.peers.events import Posted
-from aspenrill.fleet.peers.node import Peers
+from aspenrill.fleet.peers.events import MessageReceived
+from aspenrill.fleet.peers.node import PeerNode
 from standins.peersim import PeerSim
 
 DETECTION_TIME = 5.0  # seconds within which every member knows of a death
@@ -29,14 +29,14 @@
 # ---- scenarios, which assert an invariant ----------------------------------------------
 
 
-def no_false_death(make=Peers, size: int = 12, seconds: float = 60.0) -> None:
+def no_false_death(make=PeerNode, size: int = 12, seconds: float = 60.0) -> None:
     sim = fleet(size, make=make)
     sim.loss = 0.1
     sim.run(seconds)
     assert not sim.deaths() and sim.all_alive()
 
 
-def every_member_detects_a_death(make=Peers, size: int = 12) -> list[float]:
+def every_member_detects_a_death(make=PeerNode, size: int = 12) -> list[float]:
     sim, took = fleet(size, make=make), []
     for name in ("n1", f"n{size - 1}"):
         since = sim.now
@@ -49,7 +49,7 @@
     return took
 
 
-def partitions_change_and_heal(make=Peers, seed: int = 1) -> None:
+def partitions_change_and_heal(make=PeerNode, seed: int = 1) -> None:
     sim = fleet(9, seed, make=make)
     names = list(sim.nodes)
     for sides in ([set(names[:3]), set(names[3:6])], [set(names[::2])], []):
@@ -67,7 +67,7 @@
         assert not [d for d in sim.deaths(since) if not sim.apart(*d[1:])]
 
 
-def a_paused_process_declares_nobody_dead(make=Peers) -> None:
+def a_paused_process_declares_nobody_dead(make=PeerNode) -> None:
     sim = fleet(9, make=make)
     sim.cut([{"n0"}])
     assert sim.until(
@@ -83,7 +83,7 @@
     assert not [who for _, by, who in sim.deaths() if by == "n0"] and sim.all_alive()
 
 
-def entries_reach_everyone_in_version_order(make=Peers) -> None:
+def entries_reach_everyone_in_version_order(make=PeerNode) -> None:
     sim = fleet(9, make=make, delay=0.15)
     sim.loss = sim.repeat = 0.1
     for number in range(20):
@@ -98,11 +98,11 @@
             if isinstance(event, Entry):
                 assert (event.incarnation, event.version) > last.get(event.origin, (0, 0)), label
                 last[event.origin] = event.incarnation, event.version
-        found = {entry.origin: entry.value for entry in sim.nodes[label].board.entries("load")}
+        found = {entry.origin: entry.value for entry in sim.nodes[label].shared.entries("load")}
         assert found == {"n0": b"19", "n5": b"19"}
 
 
-def messages_are_delivered_once(make=Peers) -> None:
+def messages_are_delivered_once(make=PeerNode) -> None:
     sim = fleet(5, make=make)
     sim.repeat = 0.5
     for number in range(50):
@@ -110,11 +110,11 @@
         sim.touch("n0")
         sim.run(0.02)
     sim.run(1.0)
-    bodies = Counter(event.body for _, event in sim.calls["n1"] if isinstance(event, Posted))
+    bodies = Counter(event.body for _, event in sim.calls["n1"] if isinstance(event, MessageReceived))
     assert len(bodies) == 50 and set(bodies.values()) == {1}
 
 
-def the_younger_of_two_processes_with_one_name_withdraws(make=Peers) -> None:
+def the_younger_of_two_processes_with_one_name_withdraws(make=PeerNode) -> None:
     sim = fleet(5, make=make)
     elder = sim.nodes["n2"].table.me.boot_id
     sim.start("n2", ("10.0.0.1", 5555), "twin")
@@ -130,7 +130,7 @@
     assert sim.until(sim.all_alive, HEALING_TIME) and not sim.nodes["twin"].names.fenced
 
 
-def traffic_for_each_member_is_constant(make=Peers) -> None:
+def traffic_for_each_member_is_constant(make=PeerNode) -> None:
     rates = []
     for size in (10, 40):
         sim = fleet(size, make=make)
@@ -148,7 +148,7 @@
     """A factory of peer nodes with one behaviour replaced."""
 
     def make(*args):
-        peers = Peers(*args)
+        peers = PeerNode(*args)
         change(peers)
         return peers
 
@@ -181,10 +181,10 @@
 
     def merge(now, entry):
         if entry.origin != peers.table.me.name:
-            peers.board._store(now, entry)
-            peers.board._on_change(entry.as_entry())
+            peers.shared._store(now, entry)
+            peers.shared._on_change(entry.as_entry())
 
-    peers.board.merge = merge
+    peers.shared.merge = merge
 
 
 def replayed(peers):
@@ -282,12 +282,12 @@
     sim.start("n2", ("10.0.0.1", port))
     assert sim.until(sim.all_alive, 10.0)
     assert sim.nodes["n2"].table.me.incarnation > earlier.table.me.incarnation
-    assert all(not list(node.board.entries("load")) for node in sim.nodes.values())
+    assert all(not list(node.shared.entries("load")) for node in sim.nodes.values())
     earlier.post(sim.now, "n0", "part", b"late")  # it was only paused and sends again
-    for address, data in earlier.take_out():
+    for address, data in earlier.take_datagrams():
         sim._deliver("n0", address, data)
     assert sim.nodes["n0"].refused["former life"] == 1
-    assert not [event for _, event in sim.calls["n0"] if isinstance(event, Posted)]
+    assert not [event for _, event in sim.calls["n0"] if isinstance(event, MessageReceived)]
 
 
 def test_a_restart_with_a_clock_set_back_can_rejoin():
@@ -312,9 +312,9 @@
     sim.kill("n1")
     assert {sim.state(name, "n1") for name in sim.nodes} == {State.LEFT} and not sim.deaths()
     sim.run(70.0)
-    assert all("n1" not in node.board.by_origin for node in sim.nodes.values())
+    assert all("n1" not in node.shared.by_origin for node in sim.nodes.values())
     for node in sim.nodes.values():
-        node.pace = type(node.pace)(forget_after=60.0)
+        node.timing = type(node.timing)(forget_after=60.0)
     sim.run(10.0)
     assert all("n1" not in node.table.members and not node.table.departed for node in sim.nodes.values())
 
@@ -387,7 +387,7 @@
     sim.nodes["n2"].table.me = refuted  # all but n1 know it, and it is no longer gossiped
     for name in ("n0", "n3", "n4"):
         sim.nodes[name].table.merge(sim.now, refuted)
-        sim.nodes[name].table.rumours.drop("n2")
+        sim.nodes[name].table.gossip.drop("n2")
     sim.nodes["n1"].table.merge(sim.now, structs.replace(known, state=int(State.SUSPECT), reporter="n1"))
     assert sim.state("n1", "n2") is State.SUSPECT
     assert sim.until(lambda: sim.state("n1", "n2") is State.ALIVE, 3.0)
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -16,7 +16,7 @@
 from aspenrill.errors import DiskTrouble, FleetConfigTrouble, KeyTrouble, StateTrouble
 from aspenrill.fleet import config, joining
 from aspenrill.fleet.durable import DurableStore
-from aspenrill.fleet.interface import Agreed, Inform, Note, Post, Put, Store
+from aspenrill.fleet.interface import Agreed, LogLine, Notify, Post, Put, Store
 from aspenrill.fleet.service import RateLimitedLog, Service
 from aspenrill.net.hub import Hub
 from aspenrill.node import ConfigError
@@ -125,14 +125,14 @@
         world.until(lambda: b.of("on_entry"))
         assert [(e.origin, e.value) for (e,) in b.of("on_entry")] == [("a", b"hello")]
         assert {m.name for (m,) in b.of("on_member")} >= {"a"} and a.of("on_tick")
-        b.answers["on_tick"] = [Post("a", b"x"), Post("b", b"to myself"), Inform("fact"), Note("a line")]
+        b.answers["on_tick"] = [Post("a", b"x"), Post("b", b"to myself"), Notify("fact"), LogLine("a line")]
         world.until(lambda: a.of("on_message") and b.of("on_message"))
         assert a.of("on_message")[0] == ["b", world.services[1].view.incarnation, b"x"]
         assert b.of("on_message")[0][::2] == ["b", b"to myself"]
         assert facts[0] == ("part", "fact") and "fleet part: a line" in world.lines
         world.until(lambda: one.counters()["exchanges"] + world.services[1].counters()["exchanges"])
         one.leave()
-        world.until(lambda: [m for (m,) in b.of("on_member") if m.name == "a" and not m.there])
+        world.until(lambda: [m for (m,) in b.of("on_member") if m.name == "a" and not m.is_live])
         assert len(a.of("on_leave")) == 1
         again = FakeComponent()
         world.services[0] = world.service("a", again)
@@ -144,7 +144,7 @@
 
 def test_a_failed_store_ends_only_its_call(world):
     def scene():
-        part = FakeComponent(on_tick=[Note("before"), Store("k", b"v"), Note("behind")])
+        part = FakeComponent(on_tick=[LogLine("before"), Store("k", b"v"), LogLine("behind")])
         service = world.service("a", part)
         keep, service.store.put = service.store.put, refuse
         world.until(lambda: part.of("on_disk"))
@@ -167,7 +167,7 @@
         follower = FakeComponent("follower")
         world.service(
             "a",
-            FakeComponent("authority", on_start=[Inform(record), Inform(other)]),
+            FakeComponent("authority", on_start=[Notify(record), Notify(other)]),
             follower,
             inform=lambda *fact: facts.append(fact),
         )
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -14,12 +14,12 @@
 from aspenrill.fleet.durable import DATABASE_FILE, DurableStore
 from aspenrill.fleet.interface import Place, State
 from aspenrill.fleet.peers import wire
-from aspenrill.fleet.peers.detector import Pace
-from aspenrill.fleet.peers.events import Self
+from aspenrill.fleet.peers.detector import Timing
+from aspenrill.fleet.peers.events import LocalNode
 from aspenrill.fleet.peers.exchange import Exchange, StreamAuth
 from aspenrill.fleet.peers.gossip_queue import GossipQueue
-from aspenrill.fleet.peers.keys import Keys, read_keys
-from aspenrill.fleet.peers.node import Peers
+from aspenrill.fleet.peers.keys import KeyRing, read_keys
+from aspenrill.fleet.peers.node import PeerNode
 
 OLD, NEW = b"o" * 32, b"n" * 32
 BOOT_ID = b"l" * 8
@@ -42,19 +42,19 @@
 
 
 def datagram(
-    keys: Keys, message=None, *pieces: wire.MemberUpdate, count: int = 1, to: bytes = BOOT_ID
+    keys: KeyRing, message=None, *pieces: wire.MemberUpdate, count: int = 1, to: bytes = BOOT_ID
 ) -> bytes:
     return wire.seal(keys, ME, count, to, message, [Raw(wire.encode(one)) for one in pieces], [])
 
 
-def rejection(keys: Keys, data: bytes) -> str:
+def rejection(keys: KeyRing, data: bytes) -> str:
     with pytest.raises(WireTrouble) as why:
         wire.unseal(keys, data)
     return why.value.reason
 
 
 def test_only_an_unmodified_datagram_is_accepted():
-    keys = Keys("f", [OLD])
+    keys = KeyRing("f", [OLD])
     data = datagram(keys, wire.ComponentMessage("overload", b"x" * 900), update())
     packet = wire.unseal(keys, data)
     assert (packet.sender, packet.boot_id, packet.message.body) == ("a", BOOT_ID, b"x" * 900)
@@ -70,16 +70,16 @@
 
 def test_the_largest_message_and_gossip_fit_into_one_datagram():
     long = "x" * 48
-    peers = Peers(
-        Self(
+    peers = PeerNode(
+        LocalNode(
             long,
             1 << 61,
             BOOT_ID,
             ("1234:5678:9abc:def0:1234:5678:9abc:def0", 65535),
             Place("s" * 32, "b" * 32, "h" * 32),
         ),
-        Keys("f", [OLD]),
-        Pace(),
+        KeyRing("f", [OLD]),
+        Timing(),
         random.Random(1),
         0.0,
     )
@@ -100,11 +100,11 @@
         peers.put(0.0, "t" * 32, b"v" * 600)
         assert peers.post(0.0, name, "p" * 32, b"b" * 900)
         peers.detector.tick(1.0)
-    assert max(len(data) for _, data in peers.take_out()) <= wire.MAX_DATAGRAM
+    assert max(len(data) for _, data in peers.take_datagrams()) <= wire.MAX_DATAGRAM
 
 
 def test_key_rotation_and_fleet_names():
-    one, both, other = Keys("f", [OLD]), Keys("f", [NEW, OLD]), Keys("g", [OLD])
+    one, both, other = KeyRing("f", [OLD]), KeyRing("f", [NEW, OLD]), KeyRing("g", [OLD])
     assert wire.unseal(both, datagram(one)).sender == "a"
     assert rejection(one, datagram(both)) == "key"  # tags are made with the first key
     assert rejection(other, datagram(one)) == "tag"
@@ -125,14 +125,14 @@
     ],
 )
 def test_malformed_updates_are_rejected(malformed):
-    keys = Keys("f", [OLD])
+    keys = KeyRing("f", [OLD])
     assert rejection(keys, datagram(keys, None, malformed)) == "form"
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=300))
 def test_any_authentic_body_is_a_packet_or_rejected(body):
-    keys = Keys("f", [OLD])
+    keys = KeyRing("f", [OLD])
     head = wire.VERSION + keys.primary.id
     data = head + wire.tag(keys.primary.datagrams, head, body) + body
     try:
@@ -192,32 +192,32 @@
 
 
 def test_gossip_sends_the_least_sent_then_the_newest_up_to_the_limit():
-    rumours, seen = GossipQueue(10.0), []
+    gossip, seen = GossipQueue(10.0), []
     for name in "abc":
-        rumours.add(0.0, name, Raw(wire.encode(name)))
-    rumours.add(0.0, "a", Raw(wire.encode("A")))
-    while rumours:
-        seen += [bytes(raw)[1:].decode() for raw in rumours.pick(0.0, 4, 9, limit=3)[0]]
+        gossip.add(0.0, name, Raw(wire.encode(name)))
+    gossip.add(0.0, "a", Raw(wire.encode("A")))
+    while gossip:
+        seen += [bytes(raw)[1:].decode() for raw in gossip.pick(0.0, 4, 9, limit=3)[0]]
     assert "".join(seen) == "AcbAcbAcb"[:2] + "".join(seen)[2:] and sorted(seen) == sorted("Abc" * 3)
-    rumours.add(0.0, "a", Raw(b"\xa1a"))
-    assert rumours.pick(11.0, 99, 9, limit=3)[0] == [] and not rumours
+    gossip.add(0.0, "a", Raw(b"\xa1a"))
+    assert gossip.pick(11.0, 99, 9, limit=3)[0] == [] and not gossip
 
 
 # ---- streams ----------------------------------------------------------------------------------------------
 
 
-def peer_node(name: str, port: int, keys: Keys | None = None) -> Peers:
-    me = Self(name, 10 + port, name.encode() * 8, ("10.0.0.1", port), Place("s"))
-    return Peers(me, keys or Keys("f", [OLD]), Pace(), random.Random(port), 0.0)
+def peer_node(name: str, port: int, keys: KeyRing | None = None) -> PeerNode:
+    me = LocalNode(name, 10 + port, name.encode() * 8, ("10.0.0.1", port), Place("s"))
+    return PeerNode(me, keys or KeyRing("f", [OLD]), Timing(), random.Random(port), 0.0)
 
 
 def run_exchange(caller: Exchange, called: Exchange) -> list[tuple[bool, bytes]]:
     """Every frame; True if it went to the callee."""
-    frames, at = [(True, caller.greet())], 0
+    frames, at = [(True, caller.start())], 0
     while at < len(frames):
         to, data = frames[at]
         at += 1
-        frames += [(not to, more) for more in (called if to else caller).take(1.0, data)]
+        frames += [(not to, more) for more in (called if to else caller).receive(1.0, data)]
     return frames
 
 
@@ -226,44 +226,50 @@
     for number in range(700):
         side = a if number % 2 else b
         side.table.merge(0.0, update(f"n{number}", boot_id=number.to_bytes(8, "big")))
-        side.board.merge(0.0, wire.EntryUpdate(f"n{number}", 5, "load", number, b"v" * 300))
+        side.shared.merge(0.0, wire.EntryUpdate(f"n{number}", 5, "load", number, b"v" * 300))
     a.put(0.0, "load", b"a's")
-    mine, theirs = a.calling(b.table.me.boot_id, b"1" * 16), b.called(b"2" * 16)
+    mine, theirs = a.start_exchange(b.table.me.boot_id, b"1" * 16), b.accept_exchange(b"2" * 16)
     frames = run_exchange(mine, theirs)
-    assert mine.over and theirs.over and max(len(data) for _, data in frames) < 65536 and len(frames) > 6
+    assert mine.done and theirs.done and max(len(data) for _, data in frames) < 65536 and len(frames) > 6
     for side in (a, b):
-        assert len(side.table) == 702 and len(list(side.board.entries("load"))) == 701
-    again = run_exchange(a.calling(b.table.me.boot_id, b"3" * 16), b.called(b"4" * 16))
+        assert len(side.table) == 702 and len(list(side.shared.entries("load"))) == 701
+    again = run_exchange(a.start_exchange(b.table.me.boot_id, b"3" * 16), b.accept_exchange(b"4" * 16))
     assert sum(len(data) for _, data in again) < sum(len(data) for _, data in frames) / 2
 
 
 def test_a_recorded_stream_is_rejected():
     a, b = peer_node("a", 1), peer_node("b", 2)
     frames = [
-        data for to, data in run_exchange(a.calling(b.table.me.boot_id, b"1" * 16), b.called(b"2" * 16)) if to
+        data
+        for to, data in run_exchange(
+            a.start_exchange(b.table.me.boot_id, b"1" * 16), b.accept_exchange(b"2" * 16)
+        )
+        if to
     ]
-    again = b.called(b"3" * 16)
-    list(again.take(2.0, frames[0]))
+    again = b.accept_exchange(b"3" * 16)
+    list(again.receive(2.0, frames[0]))
     with pytest.raises(WireTrouble) as why:
-        list(again.take(2.0, frames[1]))
+        list(again.receive(2.0, frames[1]))
     assert why.value.reason == "stream tag"
     restarted = peer_node("b", 2)
     restarted.table.update_self(0.0, boot_id=b"z" * 8)
     with pytest.raises(WireTrouble) as why:
-        list(restarted.called(b"4" * 16).take(2.0, frames[0]))
+        list(restarted.accept_exchange(b"4" * 16).receive(2.0, frames[0]))
     assert why.value.reason == "stream addressee"
 
 
-@pytest.mark.parametrize("keys, reason", [(Keys("f", [NEW]), "stream key"), (Keys("g", [OLD]), "stream tag")])
+@pytest.mark.parametrize(
+    "keys, reason", [(KeyRing("f", [NEW]), "stream key"), (KeyRing("g", [OLD]), "stream tag")]
+)
 def test_a_stream_with_a_foreign_key_is_rejected(keys, reason):
     a, b = peer_node("a", 1, keys), peer_node("b", 2)
     with pytest.raises(WireTrouble) as why:
-        run_exchange(a.calling(b.table.me.boot_id, b"1" * 16), b.called(b"2" * 16))
+        run_exchange(a.start_exchange(b.table.me.boot_id, b"1" * 16), b.accept_exchange(b"2" * 16))
     assert why.value.reason == reason and len(b.table) == 1
 
 
 def test_frames_out_of_order_are_rejected():
-    auth, other = StreamAuth(Keys("f", [OLD]), True), StreamAuth(Keys("f", [OLD]), False)
+    auth, other = StreamAuth(KeyRing("f", [OLD]), True), StreamAuth(KeyRing("f", [OLD]), False)
     first, second = (auth.seal(wire.Ping(n)) for n in (1, 2))
     with pytest.raises(WireTrouble):
         other.unseal(second)
--- a/tests/test_groups_splits.py
+++ b/tests/test_groups_splits.py
@@ -17,7 +17,7 @@
 
 from aspenrill.api import EngineEntry, EngineState, ListMode, ListUpdate
 from aspenrill.errors import DiskTrouble
-from aspenrill.fleet import whole
+from aspenrill.fleet import atomic_file
 from aspenrill.fleet.groups import counts, owner_file
 from aspenrill.fleet.groups.part import Groups
 from aspenrill.fleet.groups.records import Shape, Split, Step, pack
@@ -334,7 +334,7 @@
     def full(_):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(whole.os, "fsync", full)
+    monkeypatch.setattr(atomic_file.os, "fsync", full)
     with pytest.raises(DiskTrouble, match="No space left"):
         owner_file.write(path, second)
     assert path.read_bytes() == before and [p.name for p in tmp_path.iterdir()] == ["splits.json"]
--- a/tests/test_overload_ledger.py
+++ b/tests/test_overload_ledger.py
@@ -15,7 +15,7 @@
 from overload_world import World
 
 from aspenrill.errors import FleetConfigTrouble
-from aspenrill.fleet.interface import MOST_BODY
+from aspenrill.fleet.interface import MAX_BODY
 from aspenrill.fleet.overload.ledger import Ledger
 from aspenrill.fleet.overload.rules import Rules
 from aspenrill.fleet.overload.wire import MAX_QUERIED, Heartbeat, pack, unpack
@@ -129,7 +129,7 @@
     odd = b"\x94\x04\x01\x01\x91\xcb\x7f\xf8" + b"\0" * 6  # an amount that is NaN
     for body in (b"", b"\xc1", b"\x91" * 5000, pack(Heartbeat(1, 1))[:-1], odd):
         assert unpack(body) is None
-    assert len(pack(Heartbeat(2**60, 2**63 - 1, bytes(8 * MAX_QUERIED)))) <= MOST_BODY
+    assert len(pack(Heartbeat(2**60, 2**63 - 1, bytes(8 * MAX_QUERIED)))) <= MAX_BODY
     assert shares(world) == before
 
 
--- a/tests/test_overload_part.py
+++ b/tests/test_overload_part.py
@@ -9,13 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from aspenrill.fleet.interface import MOST_VALUE, Entry, Inform, Member, Place
+from aspenrill.fleet.interface import MAX_VALUE, Entry, Member, Notify, Place
 from aspenrill.fleet.overload import demand
 from aspenrill.fleet.overload.bridge import Bridge
 from aspenrill.fleet.overload.cold_slots import ColdSlots
 from aspenrill.fleet.overload.facts import ProbeResult, step_function, value_at
-from aspenrill.fleet.overload.part import OverloadPart
-from aspenrill.fleet.overload.probes import Probes
+from aspenrill.fleet.overload.part import OverloadComponent
+from aspenrill.fleet.overload.probes import ProbeSchedule
 from aspenrill.fleet.overload.retries import RetryBudget
 from aspenrill.fleet.overload.rules import Rules
 from aspenrill.fleet.overload.shares import allocate, band, water_fill
@@ -37,7 +37,7 @@
         assert shares <= 1 + 1e-9, f"shares of kind {kind} sum to {shares}"
 
 
-class LoadedPart(OverloadPart):
+class LoadedPart(OverloadComponent):
     """A component that receives `load` (class: work a second, worth per work) at each tick."""
 
     load: dict[int, tuple[float, float]] = {}
@@ -45,11 +45,11 @@
 
     def on_tick(self, now):
         bridge = Bridge(self)
-        bridge.engines(ENGINES, ["cold"])
+        bridge.set_engines(ENGINES, ["cold"])
         passed = min(1.0, now - self.last) if self.last is not None else 0.0
         self.last = now
         for cls, (work, worth) in self.load.items():
-            bridge.asked(now, cls, 1, work * passed, worth * work * passed)
+            bridge.on_request(now, cls, 1, work * passed, worth * work * passed)
         return super().on_tick(now)
 
 
@@ -198,21 +198,21 @@
     for step in range(int(seconds / 0.25)):
         now = step * 0.25
         for probes in [p for p in peers if p.name not in down]:
-            probes.live(live(probes.name))
+            probes.set_live(live(probes.name))
             for engine in probes.due(now):
                 asked.append((now, probes.name))
-                probes.answered(now, engine, False)
+                probes.on_answer(now, engine, False)
                 for other in peers:
                     if other.name in live(probes.name) and other is not probes:
-                        other.hear(now, probes.name, 1, probes.entry())
+                        other.on_entry(now, probes.name, 1, probes.entry())
     return asked
 
 
 def fleet(count):
-    peers = [Probes(f"p{i}") for i in range(count)]
+    peers = [ProbeSchedule(f"p{i}") for i in range(count)]
     for probes in peers:
-        probes.engines(["e"])
-        probes.eject(0.0, "e")
+        probes.set_engines(["e"])
+        probes.on_ejected(0.0, "e")
     return peers
 
 
@@ -241,7 +241,7 @@
     for one in turns:
         for other in turns:
             if other is not one:
-                one.hear(other.name, other.entry())
+                one.on_entry(other.name, other.entry())
     names = {one.name for one in turns}
     dealt = [one.allocate(names - {one.name}, 0.25).get("e") for one in turns]
     assert dealt[3] is None and sorted(t.index for t in dealt[:3]) == [0, 1, 2]
@@ -264,9 +264,9 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=100)
-@given(st.binary(max_size=40), st.sampled_from(OverloadPart.topics))
+@given(st.binary(max_size=40), st.sampled_from(OverloadComponent.topics))
 def test_malformed_entries_and_bodies_are_ignored(data, topic):
-    part = OverloadPart(Rules(2, ("p0",)))
+    part = OverloadComponent(Rules(2, ("p0",)))
     part.on_start(0.0, LoneView(), {})
     before = part.ledger.share(0.1, 0)
     part.on_entry(0.1, Entry("p1", 1, topic, 1, data))
@@ -280,26 +280,26 @@
     for i in range(100):
         meter.on_request(0.0, i, i, 1e6, 1e9)
         meter.on_refused(0.0, i, i, 1e6)
-    assert len(demand.pack(meter.report(0.0, (0.123456789, 0.987654321)))) <= MOST_VALUE
-    probes, turns = Probes("p0"), ColdSlots("p0", 2)
+    assert len(demand.pack(meter.report(0.0, (0.123456789, 0.987654321)))) <= MAX_VALUE
+    probes, turns = ProbeSchedule("p0"), ColdSlots("p0", 2)
     names = [f"e{i}" for i in range(100)]
-    probes.engines(names)
+    probes.set_engines(names)
     for name in names:
-        probes.eject(0.0, name)
+        probes.on_ejected(0.0, name)
     for name in names[:50]:
-        probes.answered(1.0, name, False)
+        probes.on_answer(1.0, name, False)
     turns.set_cold(names)
-    assert len(probes.entry()) <= MOST_VALUE and len(turns.entry()) <= MOST_VALUE
+    assert len(probes.entry()) <= MAX_VALUE and len(turns.entry()) <= MAX_VALUE
 
 
 def test_capacity_steps_expire_and_probe_results_are_reported():
     part = step_function([(10.0, 0.25), (float("inf"), 0.25)], 40)
     assert (value_at(part, 9.9), value_at(part, 10.0)) == (20.0, 10.0)
-    one, two = OverloadPart(Rules(2, ("p0",))), Probes("p1")
+    one, two = OverloadComponent(Rules(2, ("p0",))), ProbeSchedule("p1")
     one.on_start(0.0, LoneView(), {})
-    Bridge(one).engines([("e", 8.0)], [])
-    two.engines(["e"])
-    two.answered(1.0, "e", True)
+    Bridge(one).set_engines([("e", 8.0)], [])
+    two.set_engines(["e"])
+    two.on_answer(1.0, "e", True)
     told = one.on_entry(1.0, Entry("p1", 1, "overload.probes", 1, two.entry()))
-    assert told == [Inform(ProbeResult("e", True, "p1"))]
+    assert told == [Notify(ProbeResult("e", True, "p1"))]
     assert one.on_entry(1.0, Entry("p1", 1, "overload.probes", 2, two.entry())) == []
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -18,7 +18,7 @@
 )
 
 from aspenrill.errors import DiskTrouble, PurgeFileTrouble
-from aspenrill.fleet.interface import MOST_BODY, Agreed, Inform, Member, Note, Place, Post, State
+from aspenrill.fleet.interface import MAX_BODY, Agreed, LogLine, Member, Notify, Place, Post, State
 from aspenrill.fleet.interface import Store as Saves
 from aspenrill.fleet.kept.store import Store
 from aspenrill.fleet.purges import wire
@@ -66,11 +66,11 @@
 def test_purge_is_stored_first_and_removed_when_complete():
     part, view, _ = alone()
     effects = part.purge(1.0, "g17", "operator", "tag")
-    assert isinstance(effects[0], Saves) and Inform(Accepted("tag")) in effects
-    assert part.purge(1.1, "g17", "operator", "tag") == [Inform(Accepted("tag"))]  # once
+    assert isinstance(effects[0], Saves) and Notify(Accepted("tag")) in effects
+    assert part.purge(1.1, "g17", "operator", "tag") == [Notify(Accepted("tag"))]  # once
     assert part.report(2.0)["open"][0]["state"] == "acknowledged, not complete"
     effects = part.on_agreed(2.0, Agreed(9, 1, *view.proposed))
-    assert Inform(Complete("a", 5, 1, "g17", "tag")) in effects and Saves("purge/5/1", None) in effects
+    assert Notify(Complete("a", 5, 1, "g17", "tag")) in effects and Saves("purge/5/1", None) in effects
     found = part.report(3.0)
     assert found["complete"][0]["complete_s"] == 1.0 and line(found) == "purges: none open, 1 complete"
 
@@ -80,7 +80,7 @@
     part, _, effects = alone({"purge/3/7": saved, "load/g9": b"1", "purge/3/8": saved[:5]})
     scopes = [purge.item for purge in part.origin.out.values()]
     assert scopes == [(3, 7, "g1"), (5, 1, "g9"), (5, 2, "all")]
-    assert any(isinstance(e, Note) and "purge/3/8 is damaged" in e.text for e in effects)
+    assert any(isinstance(e, LogLine) and "purge/3/8 is damaged" in e.text for e in effects)
     assert Saves("load/g9", None) in effects
 
 
@@ -91,14 +91,14 @@
     assert part.report(1.0)["open"][0]["on_disk"] is False
     effects = part.on_tick(20.0)
     assert any(isinstance(e, Saves) and e.key == "purge/5/1" for e in effects)
-    assert Inform(Accepted("t")) in effects
+    assert Notify(Accepted("t")) in effects
 
 
 def test_too_many_open_purges_are_replaced_by_one_of_everything():
     origin = Origin("a", 1)
     for at in range(100):
         origin.accept(0.0, f"g{at}", "load")
-        assert len(wire.encode(wire.Spread(2, "a", origin.items))) <= MOST_BODY
+        assert len(wire.encode(wire.Spread(2, "a", origin.items))) <= MAX_BODY
     assert any(purge.item[2] == "all" for purge in origin.out.values()) and len(origin.out) < 40
 
 
