--- a/aspenrill/membership/addresses.py
+++ b/aspenrill/membership/addresses.py
@@ -1,4 +1,4 @@
-"""Which addresses engines may have: sets of networks, IPv4 and IPv6, by netaddr."""
+"""Allow and deny lists of IPv4 and IPv6 networks for engine addresses, built on netaddr."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 from ..net.address import plain
 
-NEVER = ("0.0.0.0/8", "224.0.0.0/4", "255.255.255.255/32", "::/128", "ff00::/8")  # no engine can listen there
-REMEMBERED = 4096
+# Unspecified, multicast and broadcast addresses: no engine can listen there.
+NON_HOST_NETWORKS = ("0.0.0.0/8", "224.0.0.0/4", "255.255.255.255/32", "::/128", "ff00::/8")
+MAX_CACHED_DECISIONS = 4096  # hosts
 
 
 def networks(texts: Sequence[str]) -> list[IPNetwork]:
-    """Networks as written; ValueError names one that cannot be read."""
+    """Parses networks in CIDR notation. Raises ValueError with the text that is invalid."""
     found = []
     for text in texts:
         try:
@@ -22,30 +23,30 @@
         except (AddrFormatError, ValueError, TypeError):
             raise ValueError(f"{text!r} is not a network such as 10.0.0.0/8 or fd00::/8") from None
         if network.ip != network.network:
-            raise ValueError(f"{text!r} has bits beyond its prefix; {network.cidr} is meant")
+            raise ValueError(f"{text!r} has host bits set; use {network.cidr}")
         found.append(network)
     return found
 
 
 class AddressPolicy:
-    """`allows` an address that is in the allow set, if there is one, and in no deny set."""
+    """Allows an address that is in the allow set, if there is one, and not in the deny set."""
 
     def __init__(self, allow: Sequence[str] = (), deny: Sequence[str] = ()) -> None:
         self.allow = IPSet(networks(allow)) if allow else None
-        self.deny = IPSet([*networks(deny), *networks(NEVER)])
-        self._known: OrderedDict[str, bool] = OrderedDict()
+        self.deny = IPSet([*networks(deny), *networks(NON_HOST_NETWORKS)])
+        self._decisions: OrderedDict[str, bool] = OrderedDict()
 
     def allows(self, host: str) -> bool:
-        """Whether an engine may be at this numeric address."""
-        found = self._known.get(host)
+        """Returns whether an engine may have this numeric address. Decisions are cached."""
+        found = self._decisions.get(host)
         if found is None:
             try:
-                address = IPAddress(plain(host))  # or a deny set would be passed by in IPv6 clothes
+                address = IPAddress(plain(host))  # an IPv4-mapped IPv6 address must not bypass the deny set
             except (AddrFormatError, ValueError):
                 return False
-            found = self._known[host] = (self.allow is None or address in self.allow) and (
+            found = self._decisions[host] = (self.allow is None or address in self.allow) and (
                 address not in self.deny
             )
-            if len(self._known) > REMEMBERED:
-                self._known.popitem(last=False)
+            if len(self._decisions) > MAX_CACHED_DECISIONS:
+                self._decisions.popitem(last=False)
         return found
--- a/aspenrill/membership/flaps.py
+++ b/aspenrill/membership/flaps.py
@@ -1,7 +1,7 @@
-"""Engines that come and go: from the third return within a while one is held out, each time for longer.
+"""Flap damping: an engine that is withdrawn and listed again repeatedly is held out, each time for longer.
 
-No I/O; times are seconds and come in as arguments. After the route flap damping of RFC 2439, with a time that
-doubles in place of a penalty that decays: an operator can tell from the log when the engine is let in.
+No I/O; times are seconds and come in as arguments. Modelled on the route flap damping of RFC 2439, with a
+hold that doubles instead of a penalty that decays, so that the log states when the engine is admitted again.
 """
 
 from __future__ import annotations
@@ -12,52 +12,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Damping:
-    """`returns` within `window` seconds hold an engine for `hold`, doubled each time up to `most`; after
-    `calm` seconds without a return it is trusted as at first."""
+    """Settings of flap damping, times in seconds.
+
+    `returns` within `window` hold an engine out for `hold`, doubled each time up to `max_hold`. After
+    `reset_after` without a return the hold starts at `hold` again.
+    """
 
     returns: int = 3
     window: float = 10.0
     hold: float = 5.0
-    most: float = 300.0
-    calm: float = 60.0
+    max_hold: float = 300.0
+    reset_after: float = 60.0
 
 
-class Flaps:
-    """One engine's returns."""
+class FlapDamper:
+    """Flap damping of one engine: counts its returns and holds it out."""
 
-    __slots__ = ("rules", "returns", "level", "held_until", "last")
+    __slots__ = ("rules", "returns", "hold_count", "held_until", "last_return_at")
 
     def __init__(self, rules: Damping) -> None:
         self.rules = rules
         self.returns: deque[float] = deque(maxlen=rules.returns)
-        self.level, self.held_until, self.last = 0, 0.0, 0.0
+        self.hold_count, self.held_until, self.last_return_at = 0, 0.0, 0.0
 
-    def back(self, now: float) -> bool:
-        """It is named live again; True where that begins a hold, which `held_until` tells."""
-        if now - max(self.last, self.held_until) > self.rules.calm:
-            self.level = 0
-        self.last = now
+    def record_return(self, now: float) -> bool:
+        """Records that the engine is live again. Returns True if that starts a hold, until `held_until`."""
+        if now - max(self.last_return_at, self.held_until) > self.rules.reset_after:
+            self.hold_count = 0
+        self.last_return_at = now
         self.returns.append(now)
         if now < self.held_until or len(self.returns) < self.rules.returns:
             return False
         if now - self.returns[0] > self.rules.window:
             return False
-        self._hold(now)
+        self._begin_hold(now)
         return True
 
-    def over(self, now: float) -> bool:
-        """The hold has come to its end; True where the engine kept flapping and another hold begins."""
-        if self.returns and now - self.last <= self.rules.window:
-            self._hold(now)
+    def end_hold(self, now: float) -> bool:
+        """Ends the hold. Returns True if the engine kept flapping, in which case another hold starts."""
+        if self.returns and now - self.last_return_at <= self.rules.window:
+            self._begin_hold(now)
             return True
         self.returns.clear()
         return False
 
-    def _hold(self, now: float) -> None:
-        self.held_until = now + min(self.rules.most, self.rules.hold * 2 ** min(self.level, 30))
-        self.level += 1
+    def _begin_hold(self, now: float) -> None:
+        self.held_until = now + min(self.rules.max_hold, self.rules.hold * 2 ** min(self.hold_count, 30))
+        self.hold_count += 1
         self.returns.clear()
 
-    def held(self, now: float) -> bool:
-        """Whether it is kept out."""
+    def is_held(self, now: float) -> bool:
+        """Returns whether the engine is held out at `now`."""
         return now < self.held_until
--- a/aspenrill/membership/rule.py
+++ b/aspenrill/membership/rule.py
@@ -1,21 +1,6 @@
-"""The one rule by which sources make a list of engines. docs/design/srv.md has the same words.
-
-(a) One address and port is one engine at a time, whoever names it; an engine has an id of its own, to
-    which its pools belong. A source that names ids (bulletin, file list, DNS-SD) and gives an address
-    another id than before has another engine there; SRV names places only and changes no id.
-(b) An engine takes new work only while at least one source names it live and no source that names it says
-    that it drains or is gone.
-(c) A source withdraws only what it has named itself. A withdrawal is a drain, from the moment it is learned.
-(d) A source that fails, is silent or has run out keeps its last good list and can withdraw nothing.
-(e) The source highest in the configured order gives kind, zone, cell and start time; the highest that has
-    an SRV record gives priority and weight.
-(f) What comes up anew, or comes back after a withdrawal long enough to have restarted, is cold: its start
-    time is now. What a source's first list names was at work before, and is not.
-
-A list that shrinks by more than a share at once counts only where a second look finds the same missing
-(`source`). What flaps is held out (`flaps`), what is of a lower tier waits until it is needed (`tiers`).
-
-No I/O. Times are seconds of one clock that never goes back, and come in as arguments.
+"""Merges the lists of all sources into one list of engines, by rules (a) to (f) of the package docstring.
+
+No I/O. Times are seconds of a monotonic clock and come in as arguments.
 """
 
 from __future__ import annotations
@@ -27,18 +12,19 @@
 from ..api import EngineState
 from ..members import Member
 from ..net.address import show
-from .engine import Engine, explain, free_id
-from .once import Once
+from .engine import Engine, explain, pick_id
+from .once import OnceFilter
 from .rules import Rules
-from .source import DRAINING, GONE, LIVE, STANDING, Address, Source, Spec, places
+from .source import DRAINING, GONE, LIVE, STATE_RANK, Address, Source, Spec, entries_by_address
 from .tiers import Tiers
 
 
 class Membership:
-    """Sources go in by `whole`, `change` and `failed`; `take` gives what the owner is to be told.
+    """The merged list of engines.
 
-    `notes` collects lines for the log, `looks` the sources that must look again and when; the caller takes
-    from both. `due` tells when `tick` has something to do.
+    Sources report through `whole`, `change` and `failed`; `take` returns the updates for the owner. `notes`
+    collects log lines and `looks` the second lookups to run, as source name and time; the caller empties
+    both. `due` returns when to call `tick` next.
     """
 
     def __init__(
@@ -51,19 +37,19 @@
         self.rules, self.allows = rules, allows
         self.sources: dict[str, Source] = {}
         self.engines: dict[Address, Engine] = {}
-        self.away: OrderedDict[Address, Engine] = OrderedDict()  # named by nobody, longest first
-        self.ids: dict[str, Address] = {}
+        self.retired: OrderedDict[Address, Engine] = OrderedDict()  # named by no source, oldest first
+        self.address_by_id: dict[str, Address] = {}
         self.tiers = Tiers(rules.tiers)
         self.notes: list[str] = []
         self.looks: list[tuple[str, float]] = []
-        self._news: dict[str, Member] = {}
+        self._updates: dict[str, Member] = {}
         self._timers: list[tuple[float, int, str, Address | str]] = []
-        self._count = 0
-        self._skipped = Once()
-        self._broken: set[Address] = set()
+        self._timer_count = 0
+        self._logged_once = OnceFilter()
+        self._unhealthy: set[Address] = set()
         self.configure(now, specs)
 
-    # ---- what comes in --------------------------------------------------------------------------------
+    # ---- input ------------------------------------------------------------------------------------------
 
     def configure(
         self,
@@ -72,74 +58,81 @@
         rules: Rules | None = None,
         allows: Callable[[str], bool] | None = None,
     ) -> None:
-        """The sources in their order. One that is no longer among them is believed until each new one has
-        spoken, but not for ever; engines and what is known of them stay."""
+        """Sets the sources in their order of precedence. The entries of a removed source stay until every
+        configured source has delivered its first list, at most for `rules.handover`. Engines keep their
+        state.
+        """
         if rules is not None:
             self.rules, self.tiers.rules = rules, rules.tiers
         if allows is not None:
             self.allows = allows
-            self._skipped.clear()
+            self._logged_once.clear()
         before, self.sources = self.sources, {}
         for rank, spec in enumerate(specs):
             source = before.pop(spec.name, None) or Source(spec, rank)
-            source.spec, source.rank, source.leaving = spec, rank, False
+            source.spec, source.rank, source.removing = spec, rank, False
             self.sources[spec.name] = source
         for source in before.values():
             if source.said:
-                source.rank, source.leaving = len(specs) + source.rank, True
+                source.rank, source.removing = len(specs) + source.rank, True
                 self.sources[source.spec.name] = source
-                self._timer(now + self.rules.handover, "handover", source.spec.name)
+                self._add_timer(now + self.rules.handover, "handover", source.spec.name)
         for source in self.sources.values():
             for address in [a for a in source.said if not self.allows(a[0])]:
-                self._skip(source, source.said[address])
-                self._say(now, source, address, None)
-        self._hand_over(now)
+                self._log_not_allowed(source, source.said[address])
+                self._set_entry(now, source, address, None)
+        self._finish_handover(now)
         for engine in list(self.engines.values()):
-            self._judge(now, engine)
+            self._update_engine(now, engine)
 
-    def whole(self, now: float, name: str, members: Iterable[Member], asked: float | None = None) -> None:
-        """A source's complete list. `asked`: when what it rests on was learned; a second look must have been
-        learned later than the first."""
+    def whole(
+        self, now: float, name: str, members: Iterable[Member], learned_at: float | None = None
+    ) -> None:
+        """Applies a source's complete list. `learned_at` is when the data behind it was obtained: the data of
+        a second lookup must be newer than that of the first.
+        """
         source = self.sources.get(name)
         if source is None:
             return
-        asked = now if asked is None else asked
-        new = places(member for member in members if member.state is not GONE and self._may(source, member))
+        learned_at = now if learned_at is None else learned_at
+        new = entries_by_address(
+            member for member in members if member.state is not GONE and self._accepts(source, member)
+        )
         missing = [address for address in source.said if address not in new]
-        withdrawn = self._withdrawn(now, source, missing, asked)
-        self._heard(now, source)
+        withdrawn = self._confirm_missing(now, source, missing, learned_at)
+        self._mark_answered(now, source)
         moved = [a for a, m in new.items() if a in source.said and source.said[a].engine != m.engine]
         for address in [*withdrawn, *(moved if source.spec.names_ids else ())]:
-            self._say(now, source, address, None)
+            self._set_entry(now, source, address, None)
         for address, member in new.items():
             if source.said.get(address) != member:
-                self._say(now, source, address, member)
-        self._spoken(now, source)
+                self._set_entry(now, source, address, member)
+        self._after_update(now, source)
 
     def change(self, now: float, name: str, members: Iterable[Member]) -> None:
-        """What has changed in a source's list, by its own ids; one that is gone is named no more."""
+        """Applies changes to a source's list, by its own ids; an entry with state GONE is removed."""
         source = self.sources.get(name)
         if source is None:
             return
-        self._heard(now, source)
+        self._mark_answered(now, source)
         for member in members:
-            old = source.where.get(member.engine)
+            old = source.address_by_id.get(member.engine)
             if old is not None and (old != member.address or member.state is GONE):
-                self._say(now, source, old, None)
-            if member.state is GONE or not self._may(source, member):
+                self._set_entry(now, source, old, None)
+            if member.state is GONE or not self._accepts(source, member):
                 continue
             other = source.said.get(member.address)
             if (
                 other is not None
                 and other.engine != member.engine
-                and (STANDING[other.state] < STANDING[member.state])
+                and (STATE_RANK[other.state] < STATE_RANK[member.state])
             ):
-                continue  # it drains where another is at work already: that one has its place
-            self._say(now, source, member.address, member)
-        self._spoken(now, source)
+                continue  # an engine drains at an address that a live one has taken over
+            self._set_entry(now, source, member.address, member)
+        self._after_update(now, source)
 
     def failed(self, now: float, name: str, why: str) -> None:
-        """A source has nothing new to say: its last list stays."""
+        """Records that a lookup of the source failed. Its last list stays."""
         source = self.sources.get(name)
         if source is not None:
             if source.failing is None:
@@ -147,248 +140,259 @@
             source.failing = why
 
     def unfit(self, now: float, ids: Iterable[str]) -> None:
-        """The engines that the front end finds broken just now: they count as not usable in their tiers."""
-        broken = {self.ids[one] for one in ids if one in self.ids}
-        for address in broken ^ self._broken:
+        """Sets which engines the front end finds unhealthy now. They count as not usable in their tiers."""
+        unhealthy = {self.address_by_id[one] for one in ids if one in self.address_by_id}
+        for address in unhealthy ^ self._unhealthy:
             engine = self.engines.get(address)
-            if engine is not None and engine.fit == (address in broken):
-                engine.fit = address not in broken
-                self._judge(now, engine)
-        self._broken = broken
+            if engine is not None and engine.healthy == (address in unhealthy):
+                engine.healthy = address not in unhealthy
+                self._update_engine(now, engine)
+        self._unhealthy = unhealthy
 
     def tick(self, now: float) -> None:
-        """What time brings: holds that end, tiers that step, engines to forget."""
+        """Runs everything that is due: ends holds and handovers, forgets old engines and steps the tiers."""
         while self._timers and self._timers[0][0] <= now:
-            _, _, what, about = heapq.heappop(self._timers)
-            if what == "hold":
-                self._hold_over(now, about)
-            elif what == "handover" and about in self.sources and self.sources[about].leaving:
-                self._dismiss(now, self.sources[about])
-        while self.away:
-            engine = next(iter(self.away.values()))
-            if now < engine.down_at + self.rules.remember and now >= engine.flaps.held_until:
+            _, _, timer_kind, subject = heapq.heappop(self._timers)
+            if timer_kind == "hold":
+                self._end_hold(now, subject)
+            elif timer_kind == "handover" and subject in self.sources and self.sources[subject].removing:
+                self._remove_source(now, self.sources[subject])
+        while self.retired:
+            engine = next(iter(self.retired.values()))
+            if now < engine.down_at + self.rules.remember and now >= engine.flap_damper.held_until:
                 break
-            if now < engine.flaps.held_until:
-                self.away.move_to_end(engine.address)
+            if now < engine.flap_damper.held_until:
+                self.retired.move_to_end(engine.address)
                 break
             self._forget(engine)
-        self._step(now)
+        self._step_tiers(now)
 
     def due(self, now: float) -> float | None:
-        """When `tick` is wanted next."""
-        at = [
+        """Returns when `tick` should run next; None if nothing is scheduled."""
+        candidates = [
             due
             for due in (self.tiers.due(now), self._timers[0][0] if self._timers else None)
             if due is not None
         ]
-        return min(at, default=None)
+        return min(candidates, default=None)
 
     def take(self) -> tuple[Member, ...]:
-        """What has changed for the owner since it was last asked."""
-        news, self._news = tuple(self._news.values()), {}
-        return news
+        """Returns and clears the updates for the owner."""
+        updates, self._updates = tuple(self._updates.values()), {}
+        return updates
 
-    # ---- one source's list ----------------------------------------------------------------------------
+    # ---- one source's list ------------------------------------------------------------------------------
 
-    def _heard(self, now: float, source: Source) -> None:
+    def _mark_answered(self, now: float, source: Source) -> None:
         if source.failing is not None:
             self.notes.append(f"source {source.spec.name} answers again")
         source.heard_at, source.failing = now, None
 
-    def _spoken(self, now: float, source: Source) -> None:
+    def _after_update(self, now: float, source: Source) -> None:
         source.first = False
-        self._hand_over(now)
-        self._step(now)
+        self._finish_handover(now)
+        self._step_tiers(now)
 
-    def _may(self, source: Source, member: Member) -> bool:
+    def _accepts(self, source: Source, member: Member) -> bool:
         if not self.allows(member.address[0]):
-            self._skip(source, member)
+            self._log_not_allowed(source, member)
             return False
         if member.address in self.engines or len(self.engines) < self.rules.most_engines:
             return True
-        self._once(
+        self._log_once(
             source,
             "",
-            f"source {source.spec.name}: more than {self.rules.most_engines} engines, the rest is left out",
+            f"source {source.spec.name}: more than {self.rules.most_engines} engines, the others are ignored",
         )
         return False
 
-    def _skip(self, source: Source, member: Member) -> None:
+    def _log_not_allowed(self, source: Source, member: Member) -> None:
         host = member.address[0]
-        self._once(
+        self._log_once(
             source,
             host,
             f"source {source.spec.name}: {member.engine} at {show(member.address)} is "
             f"skipped: the address is not allowed",
         )
 
-    def _once(self, source: Source, about: str, text: str) -> None:
-        if self._skipped.first((source.spec.name, about)):
+    def _log_once(self, source: Source, subject: str, text: str) -> None:
+        if self._logged_once.add_if_new((source.spec.name, subject)):
             self.notes.append(text)
 
-    def _withdrawn(self, now: float, source: Source, missing: list[Address], asked: float) -> list[Address]:
-        """Which of those missing from a list are withdrawn by it."""
-        withdrawn, note, again = source.withdraws(missing, asked, self.rules.confirm)
+    def _confirm_missing(
+        self, now: float, source: Source, missing: list[Address], learned_at: float
+    ) -> list[Address]:
+        """Returns the missing addresses that are withdrawn; schedules a second lookup where one is needed."""
+        withdrawn, note, again = source.confirm_missing(missing, learned_at, self.rules.confirm)
         if note is not None:
             self.notes.append(note)
         if again:
             self.looks.append((source.spec.name, now + self.rules.confirm))
         return withdrawn
 
-    def _hand_over(self, now: float) -> None:
-        """Sources that are configured no more go once all that are have spoken."""
-        if any(source.first for source in self.sources.values() if not source.leaving):
+    def _finish_handover(self, now: float) -> None:
+        """Removes unconfigured sources once every configured one has delivered its first list."""
+        if any(source.first for source in self.sources.values() if not source.removing):
             return
-        for source in [s for s in self.sources.values() if s.leaving]:
-            self._dismiss(now, source)
+        for source in [s for s in self.sources.values() if s.removing]:
+            self._remove_source(now, source)
 
-    def _dismiss(self, now: float, source: Source) -> None:
+    def _remove_source(self, now: float, source: Source) -> None:
         for address in list(source.said):
-            self._say(now, source, address, None)
+            self._set_entry(now, source, address, None)
         del self.sources[source.spec.name]
 
-    # ---- one engine -----------------------------------------------------------------------------------
+    # ---- one engine -------------------------------------------------------------------------------------
 
-    def _say(self, now: float, source: Source, address: Address, member: Member | None) -> None:
-        """A source's word on one address, and what follows from it."""
-        source.note(address, member)
+    def _set_entry(self, now: float, source: Source, address: Address, member: Member | None) -> None:
+        """Sets or removes a source's entry for an address and updates the engine there."""
+        source.set_entry(address, member)
         engine, name = self.engines.get(address), source.spec.name
         if member is None:
-            if engine is not None and engine.says.pop(name, None) is not None:
-                self._judge(now, engine)
+            if engine is not None and engine.entries.pop(name, None) is not None:
+                self._update_engine(now, engine)
             return
-        before = engine or self.away.get(address)
+        before = engine or self.retired.get(address)
         if (
             before is not None
             and source.spec.names_ids
-            and (before.aliases.get(name, member.engine) != member.engine)
+            and (before.id_by_source.get(name, member.engine) != member.engine)
         ):
             self._replace(now, before, source)
             engine = before = None
         if engine is None:
-            engine = self.away.pop(address, None) or self.engines.get(address)
+            engine = self.retired.pop(address, None) or self.engines.get(address)
             if engine is None:
-                engine = Engine(free_id(member, address, self.ids, self.engines), address, self.rules.damping)
-                for other in self.sources.values():  # where it has taken another's place: who names that too
+                engine = Engine(
+                    pick_id(member, address, self.address_by_id, self.engines), address, self.rules.damping
+                )
+                for other in self.sources.values():  # entries of other sources for the same address
                     if address in other.said and other is not source:
-                        engine.says[other.spec.name] = said = other.said[address]
+                        engine.entries[other.spec.name] = said = other.said[address]
                         if other.spec.names_ids:
-                            engine.aliases[other.spec.name] = said.engine
-            elif self.ids.get(engine.id) != address:  # its id has gone to another meanwhile
-                engine.id, engine.told = free_id(member, address, self.ids, self.engines), None
-            self.engines[address], self.ids[engine.id] = engine, address
-        engine.says[name] = member
+                            engine.id_by_source[other.spec.name] = said.engine
+            elif self.address_by_id.get(engine.id) != address:  # another engine has taken its id meanwhile
+                engine.id, engine.published = pick_id(member, address, self.address_by_id, self.engines), None
+            self.engines[address], self.address_by_id[engine.id] = engine, address
+        engine.entries[name] = member
         if source.spec.names_ids:
-            engine.aliases[name] = member.engine
-        self._judge(now, engine, source)
+            engine.id_by_source[name] = member.engine
+        self._update_engine(now, engine, source)
 
     def _replace(self, now: float, engine: Engine, source: Source) -> None:
-        """Another engine is at its address: this one is gone, whoever named it."""
+        """Withdraws an engine whose address another engine has taken, whichever sources named it."""
         self.notes.append(
-            f"engine {engine.id} at {show(engine.address)}: another has its place, as {source.spec.name} says"
+            f"engine {engine.id} at {show(engine.address)}: replaced by another engine of {source.spec.name}"
         )
         self.engines.pop(engine.address, None)
-        self.away.pop(engine.address, None)
+        self.retired.pop(engine.address, None)
         self.tiers.remove(engine.address)
-        if self.ids.get(engine.id) == engine.address:
-            del self.ids[engine.id]
-        self._tell(engine, GONE)
+        if self.address_by_id.get(engine.id) == engine.address:
+            del self.address_by_id[engine.id]
+        self._publish(engine, GONE)
 
     def _forget(self, engine: Engine) -> None:
-        del self.away[engine.address]
-        if self.ids.get(engine.id) == engine.address:
-            del self.ids[engine.id]
-
-    def _judge(self, now: float, engine: Engine, source: Source | None = None) -> None:
-        """Whether an engine is up by (b), cold by (f), held, and in by its tier; what the owner hears."""
-        if engine.says:
-            top = engine.top(self.sources)
-            engine.started = max(engine.started, top.started)
-        up = bool(engine.says) and all(m.state is LIVE for m in engine.says.values())
+        del self.retired[engine.address]
+        if self.address_by_id.get(engine.id) == engine.address:
+            del self.address_by_id[engine.id]
+
+    def _update_engine(self, now: float, engine: Engine, source: Source | None = None) -> None:
+        """Recomputes whether an engine is up (b), cold (f), held out and admitted; publishes the result."""
+        if engine.entries:
+            merged = engine.merged_entry(self.sources)
+            engine.started = max(engine.started, merged.started)
+        up = bool(engine.entries) and all(m.state is LIVE for m in engine.entries.values())
         if up and not engine.up:
-            if not engine.known:
+            if not engine.was_up:
                 if source is None or not source.first:
                     engine.started = max(engine.started, now)
             else:
                 if now >= engine.down_at + self.rules.restart:
                     engine.started = now
-                if engine.flaps.back(now):
+                if engine.flap_damper.record_return(now):
                     engine.started = now
-                    self._held(engine, now)
-            engine.known = True
+                    self._start_hold(engine, now)
+            engine.was_up = True
         elif engine.up and not up:
             engine.down_at = now
         engine.up = up
-        if not engine.says:
-            engine.fit = True
+        if not engine.entries:
+            engine.healthy = True
             self.tiers.remove(engine.address)
             self.engines.pop(engine.address, None)
-            self.away[engine.address] = engine
-            self.away.move_to_end(engine.address)
-            if len(self.away) > self.rules.most_engines:
-                self._forget(next(iter(self.away.values())))
-            self._tell(engine, GONE)
+            self.retired[engine.address] = engine
+            self.retired.move_to_end(engine.address)
+            if len(self.retired) > self.rules.most_engines:
+                self._forget(next(iter(self.retired.values())))
+            self._publish(engine, GONE)
             return
-        held = engine.flaps.held(now)
+        held = engine.flap_damper.is_held(now)
         first = source is not None and source.first
-        engine.inside = self.tiers.put(
-            now, engine.address, top.priority, up and not held and engine.fit, top.weight or 0.0, first
+        engine.admitted = self.tiers.update(
+            now,
+            engine.address,
+            merged.priority,
+            up and not held and engine.healthy,
+            merged.weight or 0.0,
+            first,
         )
-        self._tell(engine, LIVE if up and not held and engine.inside else DRAINING, top)
+        self._publish(engine, LIVE if up and not held and engine.admitted else DRAINING, merged)
 
-    def _held(self, engine: Engine, now: float) -> None:
+    def _start_hold(self, engine: Engine, now: float) -> None:
         self.notes.append(
-            f"engine {engine.id} comes and goes: held out for {engine.flaps.held_until - now:.0f} s"
+            f"engine {engine.id} is flapping: held out for {engine.flap_damper.held_until - now:.0f} s"
         )
-        self._timer(engine.flaps.held_until, "hold", engine.address)
+        self._add_timer(engine.flap_damper.held_until, "hold", engine.address)
 
-    def _hold_over(self, now: float, address: Address) -> None:
-        engine = self.engines.get(address) or self.away.get(address)
-        if engine is None or engine.flaps.held_until > now or not engine.flaps.held_until:
+    def _end_hold(self, now: float, address: Address) -> None:
+        engine = self.engines.get(address) or self.retired.get(address)
+        if engine is None or engine.flap_damper.held_until > now or not engine.flap_damper.held_until:
             return
-        if engine.flaps.over(now):
-            self._held(engine, now)
+        if engine.flap_damper.end_hold(now):
+            self._start_hold(engine, now)
         elif address in self.engines:
             if engine.up:
-                engine.started = now  # let in again, cold
-            self._judge(now, engine)
+                engine.started = now  # admitted again, cold
+            self._update_engine(now, engine)
 
-    def _step(self, now: float) -> None:
-        for address, inside in self.tiers.step(now):
+    def _step_tiers(self, now: float) -> None:
+        for address, admitted in self.tiers.step(now):
             engine = self.engines[address]
-            engine.inside = inside
-            if inside:
+            engine.admitted = admitted
+            if admitted:
                 engine.started = now
-            self._judge(now, engine)
+            self._update_engine(now, engine)
         self.notes += self.tiers.notes
         self.tiers.notes.clear()
 
-    def _tell(self, engine: Engine, state: EngineState, top: Member | None = None) -> None:
-        """The owner hears what differs from what it was told last; of one that was never in, nothing."""
-        if engine.told is None and state is not LIVE:
+    def _publish(self, engine: Engine, state: EngineState, merged: Member | None = None) -> None:
+        """Queues an update for the owner if the engine changed since the last; none if it was never live."""
+        if engine.published is None and state is not LIVE:
             return
-        if top is None:
-            top = engine.told
+        if merged is None:
+            merged = engine.published
         now = Member(
             engine.id,
             engine.address,
             state,
-            top.zone,
-            top.kind,
-            top.cell,
+            merged.zone,
+            merged.kind,
+            merged.cell,
             engine.started,
-            top.priority,
-            top.weight,
+            merged.priority,
+            merged.weight,
         )
-        if now != engine.told:
-            self._news.pop(engine.id, None)
-            self._news[engine.id] = now
-            engine.told = None if state is GONE else now
+        if now != engine.published:
+            self._updates.pop(engine.id, None)
+            self._updates[engine.id] = now
+            engine.published = None if state is GONE else now
 
-    def _timer(self, due: float, what: str, about: Address | str) -> None:
-        self._count += 1
-        heapq.heappush(self._timers, (due, self._count, what, about))
+    def _add_timer(self, due: float, timer_kind: str, subject: Address | str) -> None:
+        self._timer_count += 1
+        heapq.heappush(self._timers, (due, self._timer_count, timer_kind, subject))
 
     def explain(self, now: float) -> list[tuple[Member, bool, str, list[str]]]:
-        """Each engine that is named: as it stands, whether it is in, why, and by whom it is named."""
+        """Returns for each listed engine: merged entry, whether it takes work, why, and the sources naming
+        it.
+        """
         return explain(now, self.engines.values(), self.sources)
--- a/aspenrill/membership/rules.py
+++ b/aspenrill/membership/rules.py
@@ -1,4 +1,4 @@
-"""The figures of the rule by which sources make a list."""
+"""Settings of the rules by which source lists are merged."""
 
 from __future__ import annotations
 
@@ -10,9 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Seconds, and bounds. `restart`: out for that long, an engine may have restarted. `confirm`: until
-    the second look. `handover`: for how long a source that is configured no more is believed while new ones
-    come up."""
+    """Times in seconds, and limits.
+
+    `restart`: an engine that was down for this long may have restarted and counts as cold.
+    `confirm`: delay before a list that shrank much is confirmed by a second lookup.
+    `handover`: how long the entries of a removed source stay while new sources deliver their first list.
+    `remember`: how long an engine that no source names is remembered.
+    """
 
     restart: float = 1.0
     confirm: float = 2.0
--- a/aspenrill/membership/source.py
+++ b/aspenrill/membership/source.py
@@ -1,8 +1,9 @@
-"""A source of engines as configured, what it has said last, and when it may withdraw much at once.
+"""One source of engines: its settings, its current entries, and protection against lists that shrink much.
 
-A list that shrinks by more than a share at once counts only where a second look finds the same missing.
+Where a list shrinks by more than a configured share at once, the missing entries are withdrawn only after a
+second lookup also lacks them.
 
-No I/O. Times are seconds of one clock that never goes back, and come in as arguments.
+No I/O. Times are seconds of a monotonic clock and come in as arguments.
 """
 
 from __future__ import annotations
@@ -14,14 +15,20 @@
 from ..members import Member
 
 Address = tuple[str, int]
-LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.GONE
-STANDING = {LIVE: 0, DRAINING: 1, GONE: 2}
+LIVE = EngineState.LIVE
+DRAINING = EngineState.DRAINING
+GONE = EngineState.GONE
+STATE_RANK = {LIVE: 0, DRAINING: 1, GONE: 2}  # lower is preferred
 
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """A source as configured. `names_ids`: its ids are the engines' own. `shrink`: the share of its list that
-    may go at once without a second look; 1 where a missing entry is a statement."""
+    """How the list of a configured source is merged.
+
+    `names_ids`: its ids are those of the engines, not made from host and port.
+    `shrink`: the largest share of its list that may be missing at once without a second lookup; 1 for a
+    source whose missing entries are always deliberate withdrawals.
+    """
 
     name: str
     names_ids: bool = True
@@ -29,48 +36,51 @@
 
 
 class Source:
-    """What one source has said last, by address, and how it does."""
+    """The current entries of one source by address, and its health."""
 
     def __init__(self, spec: Spec, rank: int) -> None:
         self.spec, self.rank = spec, rank
         self.said: dict[Address, Member] = {}
-        self.where: dict[str, Address] = {}  # by its own ids
-        self.first = True  # has said nothing yet
-        self.leaving = False  # not configured any more
+        self.address_by_id: dict[str, Address] = {}  # keyed by the ids that this source uses
+        self.first = True  # no list received yet
+        self.removing = False  # no longer configured
         self.heard_at: float | None = None
         self.failing: str | None = None
-        self.doubted: set[Address] = set()  # missing from the last list, until a second look
-        self.doubted_at = 0.0
+        self.doubted: set[Address] = set()  # missing from the last list; a second lookup is pending
+        self.unconfirmed_since = 0.0
 
-    def note(self, address: Address, member: Member | None) -> None:
-        """Its word on an address; None: it names none there."""
+    def set_entry(self, address: Address, member: Member | None) -> None:
+        """Sets the entry for an address; None removes it."""
         old = self.said.pop(address, None)
-        if old is not None and self.where.get(old.engine) == address:
-            del self.where[old.engine]
+        if old is not None and self.address_by_id.get(old.engine) == address:
+            del self.address_by_id[old.engine]
         if member is not None:
             self.said[address] = member
-            self.where[member.engine] = address
+            self.address_by_id[member.engine] = address
 
-    def withdraws(
-        self, missing: list[Address], asked: float, confirm: float
+    def confirm_missing(
+        self, missing: list[Address], learned_at: float, confirm: float
     ) -> tuple[list[Address], str | None, bool]:
-        """Which of those missing from a list it withdraws, a line for the log, and whether it must look
-        again. `asked`: when what the list rests on was learned; `confirm`: seconds to a second look."""
+        """Decides which addresses missing from a new list are withdrawn.
+
+        `learned_at` is when the data behind the list was obtained, `confirm` the seconds until a second
+        lookup. Returns the withdrawn addresses, a log line or None, and whether a second lookup is needed.
+        """
         name, doubted = self.spec.name, self.doubted
         if not missing or len(missing) <= self.spec.shrink * len(self.said):
             self.doubted = set()
             return missing, None, False
-        sure: list[Address] = []
-        if doubted and asked >= self.doubted_at + confirm:
-            sure = [address for address in missing if address in doubted]
+        confirmed: list[Address] = []
+        if doubted and learned_at >= self.unconfirmed_since + confirm:
+            confirmed = [address for address in missing if address in doubted]
         elif doubted and doubted.issuperset(missing):
-            return [], None, False  # the same answer again, or too soon: the second look is still to come
-        if len(sure) == len(missing):
+            return [], None, False  # cached answer, or too early: the second lookup is still pending
+        if len(confirmed) == len(missing):
             self.doubted = set()
-            return sure, f"source {name}: a second look finds the same {len(sure)} missing", False
-        self.doubted, self.doubted_at = set(missing), asked
+            return confirmed, f"source {name}: a second look finds the same {len(confirmed)} missing", False
+        self.doubted, self.unconfirmed_since = set(missing), learned_at
         return (
-            sure,
+            confirmed,
             (
                 f"source {name}: {len(missing)} of {len(self.said)} missing at once, "
                 f"to be confirmed by a second look"
@@ -80,14 +90,17 @@
 
 
 def precedence(member: Member) -> tuple[int, int, float, float]:
-    """Of two at one address in one list the lower one counts: the live one, then the lower priority, then the
-    heavier, then the later start."""
-    return STANDING[member.state], member.priority, -(member.weight or 0.0), -member.started
+    """Sort key for entries of one list with the same address; the lowest is used.
+
+    The live entry precedes, then the lower priority, then the greater weight, then the later start.
+    """
+    return STATE_RANK[member.state], member.priority, -(member.weight or 0.0), -member.started
 
 
-def places(members: Iterable[Member]) -> dict[Address, Member]:
-    """A list by address; of two at one address the live one counts, then the lower priority, then the later
-    start, then the later in the list."""
+def entries_by_address(members: Iterable[Member]) -> dict[Address, Member]:
+    """Indexes a list by address. Of entries with the same address, the one with the lowest `precedence` is
+    kept, and of equal ones the last.
+    """
     found: dict[Address, Member] = {}
     for member in members:
         other = found.get(member.address)
--- a/aspenrill/membership/tiers.py
+++ b/aspenrill/membership/tiers.py
@@ -1,11 +1,13 @@
-"""Tiers by SRV priority (RFC 2782): a lower one is let in only while those above it lack usable engines.
+"""Tiers by SRV priority (RFC 2782): a lower tier serves only while those above it lack usable engines.
 
-The tier named with the lowest priority is the first. It wants `need` engines: `full` of those named in it, at
-least `least`. Once fewer than `lack` of that are usable in the tiers above another, that one opens, and lets
-in one engine each `step` seconds until the need is met, each as cold. It closes, one engine a step, after the
-tiers above have met the need for `settle` seconds: long enough for them to be warm.
+The tier with the lowest priority value is the first. The number of engines needed is the share `target_share`
+of those listed in the first tier, at least `min_engines`. A lower tier opens when the tiers above it have
+fewer usable engines than the share `open_below` of the first tier's size. It then admits one engine every
+`step_interval` seconds, each as cold, until the need is met. It closes, one engine per step, once the tiers
+above have met the need for `settle_for` seconds, which gives them time to warm up.
 
-No I/O; times come in as arguments. A step costs as much as there are tiers, a change the log of its tier.
+No I/O; times come in as arguments. A step is linear in the number of tiers, an update logarithmic in the size
+of its tier.
 """
 
 from __future__ import annotations
@@ -20,92 +22,103 @@
 
 @dataclass(frozen=True, slots=True)
 class TierRules:
-    """Shares of the first tier's size, a number of engines, and seconds."""
+    """When a lower tier opens and closes.
 
-    lack: float = 0.5
-    full: float = 0.75
-    least: int = 1
-    step: float = 1.0
-    settle: float = 15.0
+    `open_below` and `target_share` are shares of the first tier's size, `min_engines` is a number of engines,
+    and `step_interval` and `settle_for` are seconds.
+    """
+
+    open_below: float = 0.5
+    target_share: float = 0.75
+    min_engines: int = 1
+    step_interval: float = 1.0
+    settle_for: float = 15.0
 
 
 class Tier:
-    """The engines of one priority: named, usable, let in, and waiting by weight."""
+    """The engines of one priority: listed, usable, admitted, and waiting for admission by weight."""
 
     def __init__(self, priority: int) -> None:
         self.priority = priority
-        self.named: dict[Address, bool] = {}  # whether usable
+        self.usable_by_address: dict[Address, bool] = {}  # every listed engine
         self.weights: dict[Address, float] = {}
-        self.usable = 0
-        self.inside: dict[Address, None] = {}  # let in, the last one last
-        self.good_inside = 0  # of these usable
-        self.queue: list[tuple[float, Address]] = []  # waiting; entries may be out of date
+        self.usable_count = 0
+        self.admitted: dict[Address, None] = {}  # in order of admission
+        self.admitted_usable_count = 0
+        self.waiting: list[tuple[float, Address]] = []  # heap by descending weight; may hold stale entries
         self.open = False
-        self.full_since: float | None = None
-        self.next_step = 0.0
-
-    def put(self, address: Address, usable: bool, weight: float) -> None:
-        """An engine as it is now."""
-        before = self.named.get(address)
-        self.named[address], self.weights[address] = usable, weight
-        self.usable += usable - bool(before)
-        if address in self.inside:
-            self.good_inside += usable - bool(before)
+        self.satisfied_since: float | None = None
+        self.next_step_at = 0.0
+
+    def update(self, address: Address, usable: bool, weight: float) -> None:
+        """Adds an engine or updates its state."""
+        before = self.usable_by_address.get(address)
+        self.usable_by_address[address], self.weights[address] = usable, weight
+        self.usable_count += usable - bool(before)
+        if address in self.admitted:
+            self.admitted_usable_count += usable - bool(before)
         elif before is None or usable and not before:
-            heapq.heappush(self.queue, (-weight, address))
-            if len(self.queue) > 2 * len(self.named) + 16:  # most are out of date
-                self.queue = [(-self.weights[a], a) for a in self.named if a not in self.inside]
-                heapq.heapify(self.queue)
+            heapq.heappush(self.waiting, (-weight, address))
+            if len(self.waiting) > 2 * len(self.usable_by_address) + 16:  # most entries are stale
+                self.waiting = [
+                    (-self.weights[a], a) for a in self.usable_by_address if a not in self.admitted
+                ]
+                heapq.heapify(self.waiting)
 
     def remove(self, address: Address) -> None:
-        """It is named here no more."""
-        usable = self.named.pop(address)
+        """Removes an engine that is no longer listed in this tier."""
+        usable = self.usable_by_address.pop(address)
         del self.weights[address]
-        self.usable -= usable
-        if address in self.inside:
-            del self.inside[address]
-            self.good_inside -= usable
+        self.usable_count -= usable
+        if address in self.admitted:
+            del self.admitted[address]
+            self.admitted_usable_count -= usable
 
     def admit(self, address: Address) -> None:
-        """Let one in."""
-        if address not in self.inside:
-            self.inside[address] = None
-            self.good_inside += self.named[address]
-
-    def expel(self) -> Address:
-        """Let the one out that came last."""
-        address, _ = self.inside.popitem()
-        self.good_inside -= self.named[address]
-        heapq.heappush(self.queue, (-self.weights[address], address))
+        """Admits an engine."""
+        if address not in self.admitted:
+            self.admitted[address] = None
+            self.admitted_usable_count += self.usable_by_address[address]
+
+    def evict_latest(self) -> Address:
+        """Evicts the engine admitted last and returns its address."""
+        address, _ = self.admitted.popitem()
+        self.admitted_usable_count -= self.usable_by_address[address]
+        heapq.heappush(self.waiting, (-self.weights[address], address))
         return address
 
-    def best(self) -> Address | None:
-        """The usable one with the most weight that waits, off the queue."""
-        while self.queue:
-            _, address = heapq.heappop(self.queue)
-            if self.named.get(address) and address not in self.inside:
+    def pop_heaviest(self) -> Address | None:
+        """Pops the usable waiting engine with the greatest weight; None if there is none."""
+        while self.waiting:
+            _, address = heapq.heappop(self.waiting)
+            if self.usable_by_address.get(address) and address not in self.admitted:
                 return address
         return None
 
 
 class Tiers:
-    """All tiers. `put` and `remove` as engines change, `step` in time; both tell who is let in and out."""
+    """All tiers. Call `update` and `remove` when engines change, and `step` regularly to admit and evict
+    engines.
+    """
 
     def __init__(self, rules: TierRules) -> None:
         self.rules = rules
         self.tiers: dict[int, Tier] = {}
         self.order: list[int] = []
-        self.places: dict[Address, Tier] = {}
+        self.tier_by_address: dict[Address, Tier] = {}
         self.notes: list[str] = []
 
-    def put(
+    def update(
         self, now: float, address: Address, priority: int, usable: bool, weight: float, at_once: bool
     ) -> bool:
-        """An engine as it is now; whether it is inside. `at_once`: one of a source's first list, which may
-        have been at work all along, or of the tier that is first."""
-        tier = self.places.get(address)
+        """Adds an engine or updates its state. Returns whether it is admitted.
+
+        `at_once`: the engine is in a source's first list, so it may have been serving before; in the first
+        tier it is admitted without waiting for a step.
+        """
+        tier = self.tier_by_address.get(address)
         if tier is not None and tier.priority != priority:
-            inside = address in tier.inside
+            inside = address in tier.admitted
             self.remove(address)
             at_once, tier = at_once or inside, None
         if tier is None:
@@ -113,79 +126,91 @@
             if tier is None:
                 tier = self.tiers[priority] = Tier(priority)
                 self.order = sorted(self.tiers)
-            self.places[address] = tier
-        tier.put(address, usable, weight)
-        if self.order[0] == priority and (at_once or tier.open or len(self.order) == 1 and not tier.inside):
+            self.tier_by_address[address] = tier
+        tier.update(address, usable, weight)
+        if self.order[0] == priority and (at_once or tier.open or len(self.order) == 1 and not tier.admitted):
             tier.open = True
             tier.admit(address)
-        return address in tier.inside
+        return address in tier.admitted
 
     def remove(self, address: Address) -> None:
-        """It is named no more."""
-        tier = self.places.pop(address, None)
+        """Removes an engine that is no longer listed."""
+        tier = self.tier_by_address.pop(address, None)
         if tier is None:
             return
         tier.remove(address)
-        if not tier.named:
+        if not tier.usable_by_address:
             del self.tiers[tier.priority]
             self.order = sorted(self.tiers)
 
     def inside(self, address: Address) -> bool:
-        """Whether it is let in."""
-        tier = self.places.get(address)
-        return tier is not None and address in tier.inside
+        """Returns whether the engine is admitted."""
+        tier = self.tier_by_address.get(address)
+        return tier is not None and address in tier.admitted
 
     def step(self, now: float) -> Iterator[tuple[Address, bool]]:
-        """Let engines in (True) and out (False), as far as it is time."""
-        rules, above, need, lack = self.rules, 0, 0, 0.0
-        for at, priority in enumerate(self.order):
+        """Admits (True) and evicts (False) the engines whose step is due, at most one per tier."""
+        rules, usable_above, needed, min_usable = self.rules, 0, 0, 0.0
+        for position, priority in enumerate(self.order):
             tier = self.tiers[priority]
-            if at == 0:
-                size = max(rules.least, len(tier.named))
-                need = max(rules.least, math.ceil(rules.full * size))
-                lack = max(rules.least, rules.lack * size)
-                wanted = len(tier.named)
-                tier.open, tier.full_since = True, None
+            if position == 0:
+                size = max(rules.min_engines, len(tier.usable_by_address))
+                needed = max(rules.min_engines, math.ceil(rules.target_share * size))
+                min_usable = max(rules.min_engines, rules.open_below * size)
+                target_size = len(tier.usable_by_address)
+                tier.open, tier.satisfied_since = True, None
             else:
-                wanted = self._wanted(now, tier, above, need, lack)
-            if tier.open and now >= tier.next_step:
-                moved = self._move(tier, wanted, first=at == 0)
-                if moved is not None:
-                    tier.next_step = now + rules.step
-                    yield moved
-            above += tier.usable
-
-    def _wanted(self, now: float, tier: Tier, above: int, need: int, lack: float) -> int:
-        """How many usable engines a lower tier is to have inside."""
-        if not tier.open and above < lack:
-            tier.open, tier.full_since, tier.next_step = True, None, now
-            self.notes.append(f"tier {tier.priority} opens: {above} of {need} engines above it are usable")
+                target_size = self._target_size(now, tier, usable_above, needed, min_usable)
+            if tier.open and now >= tier.next_step_at:
+                change = self._admit_or_evict(tier, target_size, first=position == 0)
+                if change is not None:
+                    tier.next_step_at = now + rules.step_interval
+                    yield change
+            usable_above += tier.usable_count
+
+    def _target_size(self, now: float, tier: Tier, usable_above: int, needed: int, min_usable: float) -> int:
+        """Returns how many usable engines a lower tier should have admitted; opens or closes the tier."""
+        if not tier.open and usable_above < min_usable:
+            tier.open, tier.satisfied_since, tier.next_step_at = True, None, now
+            self.notes.append(
+                f"tier {tier.priority} opens: {usable_above} of {needed} engines above it are usable"
+            )
         if not tier.open:
             return 0
-        if above >= need:
-            tier.full_since = now if tier.full_since is None else tier.full_since
-            if now >= tier.full_since + self.rules.settle:
-                if not tier.inside:
+        if usable_above >= needed:
+            tier.satisfied_since = now if tier.satisfied_since is None else tier.satisfied_since
+            if now >= tier.satisfied_since + self.rules.settle_for:
+                if not tier.admitted:
                     tier.open = False
-                    self.notes.append(f"tier {tier.priority} is closed: {above} engines above it are usable")
+                    self.notes.append(
+                        f"tier {tier.priority} is closed: {usable_above} engines above it are usable"
+                    )
                 return 0
-            return tier.good_inside  # until these have settled, all stays as it is
-        tier.full_since = None
-        return max(tier.good_inside, need - above)
+            return tier.admitted_usable_count  # no change until the tiers above have settled
+        tier.satisfied_since = None
+        return max(tier.admitted_usable_count, needed - usable_above)
 
     @staticmethod
-    def _move(tier: Tier, wanted: int, first: bool) -> tuple[Address, bool] | None:
-        if tier.good_inside < wanted:
-            address = tier.best()
+    def _admit_or_evict(tier: Tier, target_size: int, first: bool) -> tuple[Address, bool] | None:
+        if tier.admitted_usable_count < target_size:
+            address = tier.pop_heaviest()
             if address is not None:
                 tier.admit(address)
                 return address, True
-        elif not first and tier.inside and wanted < tier.good_inside or not wanted and tier.inside:
-            return tier.expel(), False
+        elif (
+            not first
+            and tier.admitted
+            and target_size < tier.admitted_usable_count
+            or not target_size
+            and tier.admitted
+        ):
+            return tier.evict_latest(), False
         return None
 
     def due(self, now: float) -> float | None:
-        """When `step` has something to look at again; None where one tier is all there is."""
-        if len(self.order) < 2 and all(len(t.inside) == len(t.named) for t in self.tiers.values()):
+        """Returns when `step` should run next; None if there is one tier and all of it is admitted."""
+        if len(self.order) < 2 and all(
+            len(t.admitted) == len(t.usable_by_address) for t in self.tiers.values()
+        ):
             return None
-        return now + min(self.rules.step, 0.5)
+        return now + min(self.rules.step_interval, 0.5)
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -1,4 +1,4 @@
-"""A membership on a clock of the tests' own, and the owner's list as what it was told makes it."""
+"""A Membership on a simulated clock, with the engine list that its updates produce."""
 
 from __future__ import annotations
 
@@ -7,57 +7,67 @@
 from aspenrill.membership.rule import Membership, Spec
 from aspenrill.membership.rules import Rules
 
-LIVE, DRAINING, GONE = EngineState.LIVE, EngineState.DRAINING, EngineState.GONE
-ROSTER, SRV = Spec("roster"), Spec("srv", names_ids=False, shrink=0.5)
+LIVE = EngineState.LIVE
+DRAINING = EngineState.DRAINING
+GONE = EngineState.GONE
+ROSTER = Spec("roster")
+SRV = Spec("srv", names_ids=False, shrink=0.5)
 
 
-def at(port: int, ident: str = "", state: EngineState = LIVE, **more) -> Member:
-    return Member(ident or f"e{port}", ("10.0.0.1", port), state, **more)
+def entry(port: int, engine_id: str = "", state: EngineState = LIVE, **more) -> Member:
+    return Member(engine_id or f"e{port}", ("10.0.0.1", port), state, **more)
 
 
-def srv(port: int, priority: int = 0, weight: float = 1, ident: str = "") -> Member:
-    return at(port, ident or f"h{port}:1", priority=priority, weight=weight)
+def srv_entry(port: int, priority: int = 0, weight: float = 1, engine_id: str = "") -> Member:
+    return entry(port, engine_id or f"h{port}:1", priority=priority, weight=weight)
 
 
-class World:
-    """A membership, and the owner's list as what it was told makes it."""
+class MembershipWorld:
+    """A Membership and the owner's engine list, built from the updates that the Membership publishes."""
 
     def __init__(self, *specs: Spec, now: float = 1000.0, allows=lambda host: True, **rules) -> None:
         self.now = now
-        self.m = Membership(Rules(**rules), specs or (ROSTER, SRV), now, allows)
-        self.list: dict[str, Member] = {}
-        self.heard: list[Member] = []
-
-    def hear(self) -> list[Member]:
-        news = list(self.m.take())
-        for member in news:
-            self.list[member.engine] = member
+        self.membership = Membership(Rules(**rules), specs or (ROSTER, SRV), now, allows)
+        self.listed: dict[str, Member] = {}
+        self.received: list[Member] = []
+
+    def drain_updates(self) -> list[Member]:
+        """Applies the pending updates to `listed` and returns them."""
+        updates = list(self.membership.take())
+        for member in updates:
+            self.listed[member.engine] = member
             if member.state is GONE:
-                del self.list[member.engine]
-        self.heard += news
-        return news
+                del self.listed[member.engine]
+        self.received += updates
+        return updates
 
     def whole(self, name: str, *members: Member, asked: float | None = None) -> list[Member]:
-        self.m.whole(self.now, name, members, asked)
-        return self.hear()
+        """A complete list of one source; returns the updates."""
+        self.membership.whole(self.now, name, members, asked)
+        return self.drain_updates()
 
     def change(self, name: str, *members: Member) -> list[Member]:
-        self.m.change(self.now, name, members)
-        return self.hear()
+        """Changes to the list of one source; returns the updates."""
+        self.membership.change(self.now, name, members)
+        return self.drain_updates()
 
-    def wait(self, seconds: float, step: float = 0.25) -> None:
+    def advance(self, seconds: float, step: float = 0.25) -> None:
+        """Advances the clock in steps, with a tick after each."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now += step
-            self.m.tick(self.now)
-            self.hear()
+            self.membership.tick(self.now)
+            self.drain_updates()
 
     @property
     def live(self) -> set[str]:
-        return {name for name, member in self.list.items() if member.state is LIVE}
+        """The ids of the live engines."""
+        return {name for name, member in self.listed.items() if member.state is LIVE}
 
-    def cold(self, name: str, within: float = 12.0) -> bool:
-        return self.list[name].started > self.now - within
+    def is_cold(self, name: str, within: float = 12.0) -> bool:
+        """Whether the engine started within the last seconds."""
+        return self.listed[name].started > self.now - within
 
-    def notes(self, text: str) -> int:
-        return sum(text in note for note in self.m.notes)
+    def count_logged(self, text: str) -> int:
+        """Counts the log lines that contain a text."""
+        return sum(text in note for note in self.membership.notes)
--- a/tests/merged.py
+++ b/tests/merged.py
@@ -1,4 +1,4 @@
-"""A world whose engines come from sources, for tests of what is merged."""
+"""A test world whose engines are discovered by sources, for tests of the merged list."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 from standins.nameserver import NameServer
 from standins.world import SETTINGS, World
 
-SERVICE, SD = "_data._tcp.x.example.", "_tds._tcp.x.example."
+SERVICE = "_data._tcp.x.example."
+SD = "_tds._tcp.x.example."
 ROSTER = config.SourceSpec("roster", "bulletin", Spec("roster"))
-RULES = Rules(confirm=0.4, restart=0.5, damping=Damping(), tiers=TierRules(step=0.1, settle=0.5))
+RULES = Rules(confirm=0.4, restart=0.5, damping=Damping(), tiers=TierRules(step_interval=0.1, settle_for=0.5))
 
 
 class Merged:
-    """A world whose engines come from sources: a bulletin that the test speaks for, and a name server."""
+    """A World whose engines are discovered by a bulletin, played by the test, and a simulated DNS server."""
 
     def __init__(
         self,
@@ -48,12 +49,15 @@
         self.gathering: Gathering | None = None
 
     def begin(self) -> None:
+        """Starts the sources."""
         self.gathering = Gathering(self.hub, self.sources, ("std",), self.world.node.post)
 
     def roster(self, *rows, whole: bool = False) -> None:
+        """Reports rows of the bulletin, as changes or as the complete list."""
         (self.gathering.roster.told if whole else self.gathering.roster.changed)("roster", rows)
 
     def srv(self, *engines, ttl: int = 1, **more) -> None:
+        """Replaces the SRV records of the service."""
         self.server.srv(
             SERVICE,
             *(
@@ -70,17 +74,21 @@
         )
 
     def instance(self, name: str, engine, *texts: str) -> None:
+        """Registers a DNS-SD instance with SRV, TXT and A records."""
         self.server.put(f"{name}.{SD}", "SRV", f"0 0 {engine.listener.address[1]} {engine.name}.example.")
         self.server.put(f"{name}.{SD}", "TXT", *(" ".join(f'"{text}"' for text in texts or ("v=1",)),))
         self.server.put(f"{engine.name}.example.", "A", engine.listener.address[0])
 
     @property
     def live(self) -> set[int]:
+        """The ports of the engines that take work."""
         return {p.address[1] for p in self.world.node.owner.peers.values() if p.takes_work}
 
     def listed(self, *engines, within: float = 8.0) -> None:
+        """Waits until exactly these engines take work."""
         wanted = {e.listener.address[1] for e in engines}
         self.world.until(lambda: self.live == wanted, within)
 
     def run(self, play: Callable[[], None]) -> None:
+        """Runs a test body in the world."""
         self.world.run(play)
