--- a/aspenrill/wire/__init__.py
+++ b/aspenrill/wire/__init__.py
@@ -1,5 +1,5 @@
-"""Parsers and encoders: bytes in, values out; no sockets and no waiting."""
+"""Parsers and encoders of the wire formats. No I/O."""
 
 
 class Malformed(ValueError):
-    """What came breaks the protocol; the text says where."""
+    """The input violates the protocol; the text says where."""
--- a/aspenrill/wire/bulletin.py
+++ b/aspenrill/wire/bulletin.py
@@ -1,4 +1,4 @@
-"""The bulletin: numbered changes to the list of engines, as frames and as the configuration's JSON."""
+"""The bulletin: numbered updates of the list of engines, in binary frames and in the configuration's JSON."""
 
 from __future__ import annotations
 
@@ -9,49 +9,58 @@
 from ..members import Member, News
 from . import Malformed
 
-HEAD = struct.Struct(">IQB")  # length of all that follows it, number, kind
+HEAD = struct.Struct(">IQB")  # length of the rest of the frame, number, kind
+# engine id, IPv4 address, port, state, zone, kind, cell, an ignored field, start in Unix milliseconds
 RECORD = struct.Struct(">I4sHBBBHIQ")
-NOTHING, WHOLE, CHANGES = 0, 1, 2
-MOST = 4 * 1024 * 1024
+# kinds of frames
+NOTHING = 0
+WHOLE = 1
+CHANGES = 2
+MAX_FRAME_SIZE = 4 * 1024 * 1024  # bytes
+# indexed by the state byte of a record
 STATES = (EngineState.LIVE, EngineState.DRAINING, EngineState.GONE)
-WORDS = {"in_service": EngineState.LIVE, "terminating": EngineState.DRAINING, "terminated": EngineState.GONE}
+STATE_BY_HEALTH = {
+    "in_service": EngineState.LIVE,
+    "terminating": EngineState.DRAINING,
+    "terminated": EngineState.GONE,
+}
 
 
 def greeting(number: int) -> bytes:
-    """What a front end writes first: the number of the last event that it has."""
+    """The first message of a front end: the number of the last update that it has."""
     return struct.pack(">Q", number)
 
 
 def frame_head(head: bytes) -> tuple[int, int, int]:
-    """Size of the payload, number and kind of a frame."""
+    """Parses a frame header into payload size, update number and kind."""
     length, number, kind = HEAD.unpack(head)
-    if not HEAD.size - 4 <= length <= MOST:
+    if not HEAD.size - 4 <= length <= MAX_FRAME_SIZE:
         raise Malformed(f"frame of {length} bytes")
     return length - HEAD.size + 4, number, kind
 
 
 def engines_in(size: int) -> int:
-    """How many engines a payload of so many bytes names."""
+    """Returns the number of records in a payload of `size` bytes."""
     return size // RECORD.size
 
 
 def frame_news(number: int, kind: int, payload: bytes) -> News | None:
-    """The event of a frame; None where there is nothing new."""
+    """Decodes the update in a frame; None if the frame carries none."""
     if kind == NOTHING:
         return None
     if kind not in (WHOLE, CHANGES) or len(payload) % RECORD.size:
         raise Malformed(f"frame of kind {kind} with {len(payload)} bytes")
     members = []
-    for ident, host, port, state, zone, machine, cell, _, started in RECORD.iter_unpack(payload):
+    for engine_id, host, port, state, zone, engine_kind, cell, _, started in RECORD.iter_unpack(payload):
         if state >= len(STATES):
             raise Malformed(f"state {state}")
         members.append(
             Member(
-                f"s-{ident:08x}",
+                f"s-{engine_id:08x}",
                 (".".join(map(str, host)), port),
                 STATES[state],
                 zone,
-                machine,
+                engine_kind,
                 cell,
                 started / 1000,
             )
@@ -60,7 +69,7 @@
 
 
 def json_news(item: dict[str, Any], zones: list[str], kinds: list[str]) -> News:
-    """An event as the configuration holds it."""
+    """Decodes an update in the JSON form of the configuration."""
     try:
         roster = item["roster"]
         members = []
@@ -70,7 +79,7 @@
                 Member(
                     host["host"],
                     (name, int(port)),
-                    WORDS[host["health"]],
+                    STATE_BY_HEALTH[host["health"]],
                     zones.index(host["site"]),
                     kinds.index(host["class"]),
                     int(host.get("block", 0)),
@@ -78,5 +87,5 @@
                 )
             )
         return News(int(item["no"]), bool(roster["whole"]), tuple(members))
-    except (KeyError, ValueError, TypeError, AttributeError) as why:
-        raise Malformed(f"event of the bulletin: {type(why).__name__} {why}") from None
+    except (KeyError, ValueError, TypeError, AttributeError) as error:
+        raise Malformed(f"event of the bulletin: {type(error).__name__} {error}") from None
--- a/aspenrill/wire/dns.py
+++ b/aspenrill/wire/dns.py
@@ -1,6 +1,6 @@
-"""DNS messages (RFC 1035) as far as a stub resolver needs them: names, the usual records, EDNS(0) (RFC 6891).
+"""DNS messages (RFC 1035) as a stub resolver needs them: names, common record types, EDNS(0) (RFC 6891).
 
-Names are tuples of labels without the root; a label that is not UTF-8 is kept by surrogate escapes.
+Names are tuples of labels without the root. Bytes that are not UTF-8 are kept as surrogate escapes.
 """
 
 from __future__ import annotations
@@ -11,25 +11,47 @@
 
 from . import Malformed
 
-A, NS, CNAME, SOA, PTR, TXT, AAAA, SRV, OPT = 1, 2, 5, 6, 12, 16, 28, 33, 41
-IN = 1
+# record types
+A = 1
+NS = 2
+CNAME = 5
+SOA = 6
+PTR = 12
+TXT = 16
+AAAA = 28
+SRV = 33
+OPT = 41
+IN = 1  # class
 KINDS = {"A": A, "NS": NS, "CNAME": CNAME, "SOA": SOA, "PTR": PTR, "TXT": TXT, "AAAA": AAAA, "SRV": SRV}
-NOERROR, FORMERR, SERVFAIL, NXDOMAIN, NOTIMP, REFUSED = range(6)
-HEAD = struct.Struct(">HHHHHH")
-FIXED = struct.Struct(">HHIH")  # of a record: type, class, time to live, size of its data
-RESPONSE, AUTHORITATIVE, TRUNCATED, RECURSION, OPCODE = 0x8000, 0x0400, 0x0200, 0x0100, 0x7800
-MOST_JUMPS = 32
-MOST_NAME = 255  # bytes of a name as it stands in a message, RFC 1035, 2.3.4
-MOST_TTL = 0x7FFFFFFF
-PAYLOAD = 1232  # bytes of a datagram that passes nearly everywhere unbroken
+# response codes
+NOERROR = 0
+FORMERR = 1
+SERVFAIL = 2
+NXDOMAIN = 3
+NOTIMP = 4
+REFUSED = 5
+HEAD = struct.Struct(">HHHHHH")  # id, flags, and the number of entries in each of four sections
+FIXED = struct.Struct(">HHIH")  # of a record: type, class, time to live, size of the data
+FLAG_RESPONSE = 0x8000
+FLAG_AUTHORITATIVE = 0x0400
+FLAG_TRUNCATED = 0x0200
+FLAG_RECURSION_DESIRED = 0x0100
+OPCODE_MASK = 0x7800
+MAX_POINTERS = 32  # compression pointers followed in one name
+MAX_NAME_SIZE = 255  # bytes of an encoded name, RFC 1035, 2.3.4
+MAX_TTL = 0x7FFFFFFF  # seconds
+PAYLOAD = 1232  # bytes of a UDP response that is unlikely to be fragmented
 
 Name = tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A resource record. `data` by its type: an address as text, a name (CNAME, NS, PTR), texts (TXT),
-    (priority, weight, port, host) of SRV, (serial, minimum) of SOA. `ttl` in seconds."""
+    """A resource record; `ttl` is in seconds.
+
+    `data` depends on the type: the address as text (A, AAAA), a name (CNAME, NS, PTR), a tuple of texts
+    (TXT), (priority, weight, port, host) for SRV or (serial, minimum) for SOA.
+    """
 
     name: Name
     kind: int
@@ -39,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer: its number, code, flags, question, and the records of its sections.
+    """A response message: id, response code, flags, question and records.
 
-    `records` are those of the answer section, `authority` those behind it; the additional section is read for
-    its form only, and whether it held an OPT.
+    `records` is the answer section and `authority` the authority section. The additional section is only
+    validated; `edns` tells whether it holds an OPT record.
     """
 
     number: int
@@ -56,7 +78,7 @@
 
 
 def name_of(text: str) -> Name:
-    """A dotted name as labels; a dot within a label is written with a backslash before it."""
+    """Parses a dotted name into labels; a backslash escapes a dot within a label."""
     labels, label, escaped = [], "", False
     for char in text.rstrip(".") if not text.endswith("\\.") else text:
         if escaped:
@@ -69,61 +91,64 @@
         else:
             label += char
     labels.append(label)
-    if any(not 0 < len(_bytes(part)) < 64 for part in labels) or len(encode_name(tuple(labels))) > MOST_NAME:
+    if (
+        any(not 0 < len(_label_bytes(part)) < 64 for part in labels)
+        or len(encode_name(tuple(labels))) > MAX_NAME_SIZE
+    ):
         raise Malformed(f"name {text!r}")
     return tuple(labels)
 
 
 def text_of(name: Name) -> str:
-    """Labels as a dotted name that can be printed; `name_of` reads it back where it is UTF-8."""
+    """Formats labels as a printable dotted name, which `name_of` parses back if it is UTF-8."""
     text = ".".join(part.replace("\\", "\\\\").replace(".", "\\.") for part in name) + "."
     return text.encode("utf-8", "backslashreplace").decode()
 
 
 def fold(name: Name) -> Name:
-    """Without case (RFC 4343: of ASCII letters only), for comparing."""
+    """Lower-cases the ASCII letters of a name for comparison (RFC 4343)."""
     return tuple(
         part.lower() if part.isascii() else "".join(c.lower() if c.isascii() else c for c in part)
         for part in name
     )
 
 
-def _bytes(label: str) -> bytes:
+def _label_bytes(label: str) -> bytes:
     return label.encode("utf-8", "surrogateescape")
 
 
 def encode_name(name: Name) -> bytes:
-    """Labels as they stand in a message."""
-    return b"".join(bytes([len(raw)]) + raw for raw in map(_bytes, name)) + b"\0"
+    """Encodes labels without compression."""
+    return b"".join(bytes([len(raw)]) + raw for raw in map(_label_bytes, name)) + b"\0"
 
 
 def query(number: int, name: Name, kind: int, payload: int = 0) -> bytes:
-    """A question for records of a kind under a name; with EDNS(0) where a payload size is given."""
+    """Encodes a query for records of a type; with EDNS(0) if a payload size is given."""
     body = encode_name(name) + struct.pack(">HH", kind, IN)
     if payload:
         body += b"\0" + FIXED.pack(OPT, payload, 0, 0)
-    return HEAD.pack(number, RECURSION, 1, 0, 0, bool(payload)) + body
+    return HEAD.pack(number, FLAG_RECURSION_DESIRED, 1, 0, 0, bool(payload)) + body
 
 
 class _Reader:
-    """Reads one message from front to back. A name may point back only, so that none runs in a circle."""
+    """Reads one message. Compression pointers must point backwards, so that a name cannot loop."""
 
     def __init__(self, data: bytes) -> None:
         self.data, self.at = data, 0
-        self.names: dict[int, Name] = {}  # those that began at an offset: pointers to it cost nothing more
+        self.names: dict[int, Name] = {}  # by offset, so that following a pointer to a known name is cheap
 
     def take(self, form: struct.Struct) -> tuple:
-        """The next fields."""
+        """Reads the fields of a struct."""
         if self.at + form.size > len(self.data):
             raise Malformed("message ends within a record")
         self.at += form.size
         return form.unpack_from(self.data, self.at - form.size)
 
     def name(self) -> Name:
-        """The next name."""
-        data, start, at, after, jumps = self.data, self.at, self.at, None, 0
+        """Reads a name and follows its compression pointers."""
+        data, start, at, end_at, jumps = self.data, self.at, self.at, None, 0
         labels: list[str] = []
-        lowest, size_all = start, 1
+        lowest_target, name_size = start, 1
         while True:
             if at >= len(data):
                 raise Malformed("message ends within a name")
@@ -132,15 +157,15 @@
                 if at + 1 >= len(data):
                     raise Malformed("message ends within a name")
                 target = (size & 0x3F) << 8 | data[at + 1]
-                after = at + 2 if after is None else after
+                end_at = at + 2 if end_at is None else end_at
                 jumps += 1
-                if target >= lowest or jumps > MOST_JUMPS:
+                if target >= lowest_target or jumps > MAX_POINTERS:
                     raise Malformed("name that points in a circle")
-                lowest = at = target
+                lowest_target = at = target
                 known = self.names.get(target)
                 if known is not None:
                     labels += known
-                    size_all += sum(len(_bytes(part)) + 1 for part in known)
+                    name_size += sum(len(_label_bytes(part)) + 1 for part in known)
                     break
                 continue
             if size > 63 or at + 1 + size > len(data):
@@ -149,32 +174,34 @@
             if not size:
                 break
             labels.append(data[at - size : at].decode("utf-8", "surrogateescape"))
-            size_all += size + 1
-            if size_all > MOST_NAME:
+            name_size += size + 1
+            if name_size > MAX_NAME_SIZE:
                 break
-        if size_all > MOST_NAME:
+        if name_size > MAX_NAME_SIZE:
             raise Malformed("name too long")
-        self.at = at if after is None else after
+        self.at = at if end_at is None else end_at
         found = self.names[start] = tuple(labels)
         return found
 
     def record(self) -> tuple[Record | None, bool]:
-        """The next record, None where its kind is not known here; and whether it is an OPT."""
+        """Reads a record, None if its type is not supported; and whether it is an OPT record."""
         name = self.name()
-        kind, family, ttl, size = self.take(FIXED)
+        kind, record_class, ttl, size = self.take(FIXED)
         end = self.at + size
         if end > len(self.data):
             raise Malformed("record beyond the end")
         if kind == OPT:
             self.at = end
             return None, True
-        data = self._data(kind, end) if family == IN else None
+        data = self._data(kind, end) if record_class == IN else None
         if data is not None and self.at != end:
             raise Malformed("record whose data does not fit its size")
         self.at = end
         if data is None:
             return None, False
-        return Record(name, kind, ttl if ttl <= MOST_TTL else 0, data), False  # RFC 2181, 8: beyond it is 0
+        return Record(
+            name, kind, ttl if ttl <= MAX_TTL else 0, data
+        ), False  # RFC 2181, 8: larger values count as 0
 
     def _data(self, kind: int, end: int) -> object:
         if kind in (A, AAAA):
@@ -186,12 +213,12 @@
         if kind in (PTR, CNAME, NS):
             return self.name()
         if kind == SRV:
-            numbers = self.take(_THREE)
+            numbers = self.take(_SRV_FIELDS)
             return (*numbers, self.name())
         if kind == SOA:
             self.name()
             self.name()
-            serial, _, _, _, minimum = self.take(_FIVE)
+            serial, _, _, _, minimum = self.take(_SOA_FIELDS)
             return serial, minimum
         if kind == TXT:
             texts = []
@@ -205,29 +232,31 @@
         return None
 
 
-_THREE, _FIVE, _TWO = struct.Struct(">HHH"), struct.Struct(">IIIII"), struct.Struct(">HH")
+_SRV_FIELDS = struct.Struct(">HHH")
+_SOA_FIELDS = struct.Struct(">IIIII")
+_QUESTION_FIELDS = struct.Struct(">HH")
 
 
 def read_reply(data: bytes) -> Reply:
-    """An answer; Malformed where any part of it cannot be read.
+    """Parses a response. Raises Malformed if any part of it is invalid.
 
-    One that is marked as truncated may end within a record: what it holds is not used.
+    The records of a truncated response are ignored, since it may end within a record.
     """
     reader = _Reader(data)
-    number, flags, questions, answers, authorities, more = reader.take(HEAD)
-    if not flags & RESPONSE or flags & OPCODE or questions > 1:
+    number, flags, questions, answers, authorities, additional = reader.take(HEAD)
+    if not flags & FLAG_RESPONSE or flags & OPCODE_MASK or questions > 1:
         raise Malformed("not an answer to a question")
     question = None
     for _ in range(questions):
         name = reader.name()
-        kind, family = reader.take(_TWO)
-        question = (name, kind) if family == IN else None
-    code, cut = flags & 0xF, bool(flags & TRUNCATED)
-    if cut:
+        kind, record_class = reader.take(_QUESTION_FIELDS)
+        question = (name, kind) if record_class == IN else None
+    code, truncated = flags & 0xF, bool(flags & FLAG_TRUNCATED)
+    if truncated:
         return Reply(number, code, True, question)
     sections: list[tuple[Record, ...]] = []
     edns = False
-    for count in (answers, authorities, more):
+    for count in (answers, authorities, additional):
         found = []
         for _ in range(count):
             record, is_opt = reader.record()
@@ -235,4 +264,6 @@
             if record is not None:
                 found.append(record)
         sections.append(tuple(found))
-    return Reply(number, code, False, question, sections[0], sections[1], bool(flags & AUTHORITATIVE), edns)
+    return Reply(
+        number, code, False, question, sections[0], sections[1], bool(flags & FLAG_AUTHORITATIVE), edns
+    )
--- a/aspenrill/wire/http1.py
+++ b/aspenrill/wire/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a client speaks it: request heads out, response heads in."""
+"""HTTP/1.1 for a client: encodes requests and parses response heads."""
 
 from __future__ import annotations
 
@@ -7,33 +7,35 @@
 
 from . import Malformed
 
-MOST_BODY = 65536
-MOST_PAGE, MOST_PAGES = 6000, 1000
-ROW, TEXT = b"\t\t\n", bytes(set(range(256)) - set(b"\t\n"))  # a row of three columns without its text
-MOST_NAMES = 256  # names of headers that are remembered
-HEX = re.compile(rb"[0-9a-fA-F]{1,8}\Z")
+MOST_BODY = 65536  # bytes
+MAX_PAGE_SIZE = 6000  # bytes
+MAX_PAGES = 1000  # of a result
+ROW_SEPARATORS = b"\t\t\n"  # the separators in a row of three columns
+NON_SEPARATORS = bytes(set(range(256)) - set(b"\t\n"))
+MAX_CACHED_NAMES = 256  # cached header names
+CHUNK_SIZE = re.compile(rb"[0-9a-fA-F]{1,8}\Z")
 
 
 @dataclass(slots=True)
 class Head:
-    """Status and headers (names in lower case) of a response."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
 
     @property
     def stays(self) -> bool:
-        """Whether the connection may carry another call."""
+        """Whether the connection can be reused."""
         return self.headers.get("connection", "").lower() != "close"
 
     @property
     def chunked(self) -> bool:
-        """Whether the body comes in chunks."""
+        """Whether the body uses chunked transfer coding."""
         return "chunked" in self.headers.get("transfer-encoding", "").lower()
 
     @property
     def length(self) -> int | None:
-        """Bytes of the body; None where only the end of the connection tells."""
+        """Size of the body in bytes; None if the header does not state it."""
         if self.status in (204, 304) or 100 <= self.status < 200:
             return 0
         text = self.headers.get("content-length")
@@ -44,8 +46,8 @@
         return int(text)
 
 
-def _start(method: str, path: str, host: str, headers: dict[str, str]) -> str:
-    """The first lines of a request; Malformed where a header would begin another line."""
+def _request_head(method: str, path: str, host: str, headers: dict[str, str]) -> str:
+    """Encodes request line and headers. Raises Malformed for a line break in a value (header injection)."""
     text = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n"
     for name, value in headers.items():
         if "\r" in value or "\n" in value:
@@ -55,67 +57,67 @@
 
 
 def request(method: str, path: str, host: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """A whole request."""
-    text = _start(method, path, host, headers)
+    """Encodes a complete request."""
+    text = _request_head(method, path, host, headers)
     if body or method in ("POST", "PUT"):
         text += f"Content-Length: {len(body)}\r\n"
     return f"{text}\r\n".encode() + body
 
 
 def post_head(path: str, host: str, headers: dict[str, str]) -> bytes:
-    """How POSTs begin that have these headers in common; `post` goes on."""
-    return _start("POST", path, host, headers).encode()
+    """Encodes the start of a POST head, common to requests with these headers; `post` encodes the rest."""
+    return _request_head("POST", path, host, headers).encode()
 
 
-def post(ticket: str, left_ms: int, priority: int, key: str | None, size: int) -> bytes:
-    """What is a query's own in the head of its POST, and the end of that head."""
-    nonce = ""
-    if key is not None:
-        if "\r" in key or "\n" in key:
+def post(request_id: str, remaining_ms: int, priority: int, nonce: str | None, size: int) -> bytes:
+    """Encodes the headers specific to one request and the end of the head."""
+    nonce_header = ""
+    if nonce is not None:
+        if "\r" in nonce or "\n" in nonce:
             raise Malformed("line break in X-Nonce")
-        nonce = f"X-Nonce: {key}\r\n"
+        nonce_header = f"X-Nonce: {nonce}\r\n"
     return (
-        f"X-Ticket: {ticket}\r\nX-Max-Ms: {left_ms}\r\nX-Weight-Class: {priority}\r\n{nonce}"
+        f"X-Ticket: {request_id}\r\nX-Max-Ms: {remaining_ms}\r\nX-Weight-Class: {priority}\r\n{nonce_header}"
         f"Content-Length: {size}\r\n\r\n"
     ).encode()
 
 
-def _name(raw: str) -> str:
-    """A header's name in lower case; Malformed where it is none. Those met are remembered, some of them."""
-    if not raw or raw != raw.strip():
-        raise Malformed(f"header {raw[:40]!r}")
-    name = raw.lower()
-    if len(_names) < MOST_NAMES and len(raw) <= 64:
-        _names[raw] = name
+def _parse_name(raw_name: str) -> str:
+    """Returns a header name in lower case and caches it. Raises Malformed if it is invalid."""
+    if not raw_name or raw_name != raw_name.strip():
+        raise Malformed(f"header {raw_name[:40]!r}")
+    name = raw_name.lower()
+    if len(_cached_names) < MAX_CACHED_NAMES and len(raw_name) <= 64:
+        _cached_names[raw_name] = name
     return name
 
 
-_names: dict[str, str] = {}
+_cached_names: dict[str, str] = {}
 
 
 def response_head(text: str) -> Head:
-    """The head of a response as Latin-1 text, up to and with its empty line."""
+    """Parses a response head, given as Latin-1 text up to and including the empty line."""
     lines = text.split("\r\n")
-    first = lines[0]
-    status = first[9:12]
+    status_line = lines[0]
+    status = status_line[9:12]
     if (
-        first[:7] != "HTTP/1."
-        or first[8:9] != " "
-        or first[12:13] not in (" ", "")
+        status_line[:7] != "HTTP/1."
+        or status_line[8:9] != " "
+        or status_line[12:13] not in (" ", "")
         or not (status.isascii() and status.isdigit())
         or not 100 <= int(status) <= 599
     ):
-        raise Malformed(f"status line {first[:40]!r}")
+        raise Malformed(f"status line {status_line[:40]!r}")
     headers: dict[str, str] = {}
     for line in lines[1:]:
         if not line:
             continue
-        at = line.find(":")
-        if at < 0:
+        colon = line.find(":")
+        if colon < 0:
             raise Malformed(f"header {line[:40]!r}")
-        raw = line[:at]
-        name = _names.get(raw) or _name(raw)
-        value = line[at + 2 :] if line[at + 1 : at + 2] == " " else line[at + 1 :]
+        raw_name = line[:colon]
+        name = _cached_names.get(raw_name) or _parse_name(raw_name)
+        value = line[colon + 2 :] if line[colon + 1 : colon + 2] == " " else line[colon + 1 :]
         if value[:1].isspace() or value[-1:].isspace():
             value = value.strip()
         if name == "content-length" and headers.get(name, value) != value:
@@ -125,15 +127,15 @@
 
 
 def pages(head: Head) -> int:
-    """Number of pages that a good end announces."""
+    """Returns the number of pages of a successful result."""
     text = head.headers.get("x-batches", "")
-    if not text.isascii() or not text.isdigit() or len(text) > 9 or not 1 <= int(text) <= MOST_PAGES:
+    if not text.isascii() or not text.isdigit() or len(text) > 9 or not 1 <= int(text) <= MAX_PAGES:
         raise Malformed(f"x-batches {text[:40]!r}")
     return int(text)
 
 
 def check_page(head: Head, body: bytes, number: int) -> None:
-    """Malformed where this can't be that page of a result: whole rows of three columns of text, in bounds."""
+    """Raises Malformed unless the body is page `number` of a result: complete rows of three text columns."""
     if number == 0:
         pages(head)
     if head.headers.get("x-batch", "0") != str(number):
@@ -142,15 +144,19 @@
         _ = body.isascii() or body.decode("utf-8")
     except UnicodeDecodeError:
         raise Malformed("a page that is not text") from None
-    shape = body.translate(None, TEXT)
-    whole = not body or body.endswith(b"\n")
-    if len(body) > MOST_PAGE or not whole or shape != ROW * (len(shape) // len(ROW)):
+    separators = body.translate(None, NON_SEPARATORS)
+    complete = not body or body.endswith(b"\n")
+    if (
+        len(body) > MAX_PAGE_SIZE
+        or not complete
+        or separators != ROW_SEPARATORS * (len(separators) // len(ROW_SEPARATORS))
+    ):
         raise Malformed(f"a page of {len(body)} bytes that is not whole rows")
 
 
 def chunk_size(line: bytes) -> int:
-    """Size of the chunk that a line announces."""
+    """Parses a chunk-size line."""
     text = line.split(b";")[0].strip()
-    if not HEX.match(text) or int(text, 16) > MOST_BODY:
+    if not CHUNK_SIZE.match(text) or int(text, 16) > MOST_BODY:
         raise Malformed(f"chunk size {line[:20]!r}")
     return int(text, 16)
--- a/aspenrill/wire/sql.py
+++ b/aspenrill/wire/sql.py
@@ -1,4 +1,4 @@
-"""Which group of tables a statement reads or writes."""
+"""Finds the table group that a SQL statement reads or writes."""
 
 from __future__ import annotations
 
@@ -7,39 +7,53 @@
 PART = r"""(?:"[^"]*"|\[[^\]]*\]|`[^`]*`|[^\W\d][\w$\#@]*)"""
 LITERAL = r"""--[^\n]*|'[^']*'?|\$(?P<tag>\w*)\$.*?(?:\$(?P=tag)\$|\Z)"""
 TOKEN = re.compile(rf"{LITERAL}|\d[\w.]*|(?P<name>{PART}(?:\s*\.\s*{PART})*)", re.S)
-COMMENT = re.compile(rf"{LITERAL}|{PART}|/\*", re.S)
-EDGE = re.compile(r"/\*|\*/")
+COMMENT_OR_LITERAL = re.compile(rf"{LITERAL}|{PART}|/\*", re.S)
+COMMENT_DELIMITER = re.compile(r"/\*|\*/")
 DOT = re.compile(rf"({PART})(?:\s*\.\s*)?")
-BEFORE = {"from", "join", "into", "update", "table", "using", "merge", "delete", "truncate", "copy"}
-AFTER = {"where", "set", "on", "select", "values", "group", "order", "having", "limit", "union", "when"}
-ODD = re.compile(r"""['"`$\[#@]|--|/\*""")  # texts, quoted names, comments: then all is looked at
-PLAIN = re.compile(r"(?<!\w)([^\W\d]\w*)\s*\.\s*[^\W\d]")
+TABLE_KEYWORDS = {"from", "join", "into", "update", "table", "using", "merge", "delete", "truncate", "copy"}
+CLAUSE_KEYWORDS = {
+    "where",
+    "set",
+    "on",
+    "select",
+    "values",
+    "group",
+    "order",
+    "having",
+    "limit",
+    "union",
+    "when",
+}
+SPECIAL = re.compile(r"""['"`$\[#@]|--|/\*""")  # literals, quoted names or comments need the full scan
+QUALIFIED_NAME = re.compile(r"(?<!\w)([^\W\d]\w*)\s*\.\s*[^\W\d]")
 GROUP = re.compile(r"_(\d{1,9})\Z")
 
 
 def _bare(text: str) -> str:
-    """The statement without its block comments, which may nest."""
-    parts, at = [], 0
-    while match := COMMENT.search(text, at):
+    """Returns the statement without its block comments, which may be nested."""
+    parts, position = [], 0
+    while match := COMMENT_OR_LITERAL.search(text, position):
         if match.group() != "/*":
-            parts.append(text[at : match.end()])
-            at = match.end()
+            parts.append(text[position : match.end()])
+            position = match.end()
             continue
-        parts.append(text[at : match.start()] + " ")
-        at, depth = match.end(), 1
+        parts.append(text[position : match.start()] + " ")
+        position, depth = match.end(), 1
         while depth:
-            edge = EDGE.search(text, at)
-            if edge is None:
+            delimiter = COMMENT_DELIMITER.search(text, position)
+            if delimiter is None:
                 return "".join(parts)
-            depth += 1 if edge.group() == "/*" else -1
-            at = edge.end()
-    return "".join(parts) + text[at:]
+            depth += 1 if delimiter.group() == "/*" else -1
+            position = delimiter.end()
+    return "".join(parts) + text[position:]
 
 
 def table_group(statement: str) -> int | None:
-    """The number after the underscore in the first schema named after FROM and its like, or else anywhere."""
-    if statement.count(".") == 1 and not ODD.search(statement):  # one name with a schema, and nothing odd
-        match = PLAIN.search(statement)
+    """Returns the number that ends a schema name: of the first table after FROM and similar keywords, else of
+    the first qualified name; None if there is none. The schema `staging` does not count.
+    """
+    if statement.count(".") == 1 and not SPECIAL.search(statement):  # fast path: a single qualified name
+        match = QUALIFIED_NAME.search(statement)
         if match is not None:
             group = GROUP.search(match[1])
             return int(group[1]) if group and match[1].lower() != "staging" else None
@@ -49,17 +63,17 @@
 def _table_group(statement: str) -> int | None:
     if "/*" in statement:
         statement = _bare(statement)
-    other, tables = None, False
+    fallback, expect_table = None, False
     for match in TOKEN.finditer(statement):
         name = match["name"]
         if name is None:
             continue
         if "." not in name:
             word = name.lower()
-            if word in BEFORE:
-                tables = True
-            elif word in AFTER:
-                tables = False
+            if word in TABLE_KEYWORDS:
+                expect_table = True
+            elif word in CLAUSE_KEYWORDS:
+                expect_table = False
             continue
         parts = DOT.findall(name)
         if len(parts) < 2:
@@ -67,7 +81,7 @@
         schema = parts[-2].strip('"[]`')
         group = GROUP.search(schema)
         if group and schema.lower() != "staging":
-            if tables:
+            if expect_table:
                 return int(group[1])
-            other = int(group[1]) if other is None else other
-    return other
+            fallback = int(group[1]) if fallback is None else fallback
+    return fallback
--- a/aspenrill/wire/thrift.py
+++ b/aspenrill/wire/thrift.py
@@ -1,4 +1,4 @@
-"""Thrift's strict binary protocol, as far as the front needs it."""
+"""The strict binary protocol of Thrift, framed, as far as the front end needs it."""
 
 from __future__ import annotations
 
@@ -8,17 +8,42 @@
 
 from . import Malformed
 
-CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
-UNKNOWN_METHOD, BAD_SEQUENCE, INTERNAL, PROTOCOL = 1, 4, 6, 7  # types of an application exception
-BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = 2, 3, 4, 6, 8, 10, 11, 12, 13, 14, 15
+# message types
+CALL = 1
+REPLY = 2
+EXCEPTION = 3
+ONEWAY = 4
+
+# types of an application exception
+UNKNOWN_METHOD = 1
+BAD_SEQUENCE = 4
+INTERNAL = 6
+PROTOCOL = 7
+
+# types of values
+BOOL = 2
+BYTE = 3
+DOUBLE = 4
+I16 = 6
+I32 = 8
+I64 = 10
+STRING = 11
+STRUCT = 12
+MAP = 13
+SET = 14
+LIST = 15
+
 VERSION = 0x8001
-DEEPEST = 8
-WORD, BYTE_, SHORT, INT = (struct.Struct(form) for form in (">I", ">b", ">h", ">i"))
-FIXED = {
-    BOOL: BYTE_,
-    BYTE: BYTE_,
-    I16: SHORT,
-    I32: INT,
+MAX_DEPTH = 8  # of nested values
+U32_STRUCT = struct.Struct(">I")
+I8_STRUCT = struct.Struct(">b")
+I16_STRUCT = struct.Struct(">h")
+I32_STRUCT = struct.Struct(">i")
+FIXED_SIZE_STRUCTS = {
+    BOOL: I8_STRUCT,
+    BYTE: I8_STRUCT,
+    I16: I16_STRUCT,
+    I32: I32_STRUCT,
     I64: struct.Struct(">q"),
     DOUBLE: struct.Struct(">d"),
 }
@@ -26,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Message:
-    """A message's head, and its arguments by field number (None where they cannot be read)."""
+    """A message: header, and arguments by field number (None if they cannot be parsed)."""
 
     kind: int
     name: str
@@ -36,44 +61,44 @@
 
 class _Reader:
     def __init__(self, data: bytes) -> None:
-        self.data, self.at, self.end = data, 0, len(data)
+        self.data, self.position, self.end = data, 0, len(data)
 
-    def unpack(self, form: struct.Struct) -> Any:
-        at = self.at
-        self.at = at + form.size
-        if self.at > self.end:
+    def unpack(self, struct_format: struct.Struct) -> Any:
+        at = self.position
+        self.position = at + struct_format.size
+        if self.position > self.end:
             raise Malformed(f"message ends within a value at byte {at}")
-        return form.unpack_from(self.data, at)[0]
+        return struct_format.unpack_from(self.data, at)[0]
 
     def blob(self) -> bytes:
-        at = self.at + 4
+        at = self.position + 4
         if at > self.end:
-            raise Malformed(f"message ends within a length at byte {self.at}")
+            raise Malformed(f"message ends within a length at byte {self.position}")
         size = int.from_bytes(self.data[at - 4 : at], "big", signed=True)
-        self.at = at + size
-        if size < 0 or self.at > self.end:
+        self.position = at + size
+        if size < 0 or self.position > self.end:
             raise Malformed(f"length {size} at byte {at - 4}")
-        return self.data[at : self.at]
+        return self.data[at : self.position]
 
-    def count(self, least: int) -> int:
-        """Number of elements, each of at least so many bytes."""
-        count = self.unpack(INT)
-        if not 0 <= count * least <= len(self.data) - self.at:
-            raise Malformed(f"{count} elements at byte {self.at - 4}")
+    def count(self, min_size: int) -> int:
+        """Reads the number of elements, each of which takes at least `min_size` bytes."""
+        count = self.unpack(I32_STRUCT)
+        if not 0 <= count * min_size <= len(self.data) - self.position:
+            raise Malformed(f"{count} elements at byte {self.position - 4}")
         return count
 
     def value(self, kind: int, depth: int) -> Any:
-        if kind in FIXED:
-            value = self.unpack(FIXED[kind])
+        if kind in FIXED_SIZE_STRUCTS:
+            value = self.unpack(FIXED_SIZE_STRUCTS[kind])
             return bool(value) if kind == BOOL else value
         if kind == STRING:
             return self.blob()
-        if depth >= DEEPEST:
+        if depth >= MAX_DEPTH:
             raise Malformed("nested too deeply")
         if kind == STRUCT:
             return self.struct(depth + 1)
         if kind == MAP:
-            key, item = self.unpack(BYTE_), self.unpack(BYTE_)
+            key, item = self.unpack(I8_STRUCT), self.unpack(I8_STRUCT)
             if key == item == STRING:
                 blob = self.blob
                 return {blob(): blob() for _ in range(self.count(8))}
@@ -82,29 +107,31 @@
                 return pairs
             return dict(pairs)
         if kind in (SET, LIST):
-            item = self.unpack(BYTE_)
+            item = self.unpack(I8_STRUCT)
             return [self.value(item, depth + 1) for _ in range(self.count(1))]
         raise Malformed(f"no such type: {kind}")
 
     def struct(self, depth: int) -> dict[int, Any]:
-        found = {}
-        while kind := self.unpack(BYTE_):
-            number = self.unpack(SHORT)
-            found[number] = self.value(kind, depth)
-        return found
+        fields = {}
+        while kind := self.unpack(I8_STRUCT):
+            number = self.unpack(I16_STRUCT)
+            fields[number] = self.value(kind, depth)
+        return fields
 
 
 def read_message(frame: bytes) -> Message:
-    """The message of a frame. Malformed where not even its head can be read, so that none can answer it."""
+    """Parses the message in a frame. Raises Malformed if its header is invalid, so that it cannot be
+    answered.
+    """
     reader = _Reader(frame)
-    head = reader.unpack(WORD)
+    head = reader.unpack(U32_STRUCT)
     if head >> 16 != VERSION:
         raise Malformed("not the strict binary protocol")
     name = reader.blob().decode("utf-8", "replace")
-    seqid = reader.unpack(INT)
+    seqid = reader.unpack(I32_STRUCT)
     try:
         args = reader.struct(0)
-        if reader.at != len(frame):
+        if reader.position != len(frame):
             args = None
     except Malformed:
         args = None
@@ -112,85 +139,88 @@
 
 
 def frame_size(data: bytes, at: int) -> int:
-    """Bytes of the frame that begins there, with its length."""
+    """Returns the size of the frame that starts at `at`, including its length field."""
     return 4 + int.from_bytes(data[at : at + 4], "big")
 
 
 def number_of(framed: bytes) -> int:
-    """The sequence number of a whole framed message of ours."""
-    behind_name = 12 + int.from_bytes(framed[8:12], "big")
-    return int.from_bytes(framed[behind_name : behind_name + 4], "big", signed=True)
+    """Returns the sequence number of a complete framed message that this module encoded."""
+    name_end = 12 + int.from_bytes(framed[8:12], "big")
+    return int.from_bytes(framed[name_end : name_end + 4], "big", signed=True)
 
 
 def blob(data: bytes) -> bytes:
-    """A string or binary value."""
+    """Encodes a string or binary value."""
     return struct.pack(">i", len(data)) + data
 
 
 def field(kind: int, number: int, value: bytes) -> bytes:
-    """A field of a struct."""
+    """Encodes a field of a struct."""
     return struct.pack(">bh", kind, number) + value
 
 
 def text_map(fields: dict[str, str]) -> bytes:
-    """A value of type map<string,string>."""
+    """Encodes a map<string,string>."""
     pairs = b"".join(blob(k.encode()) + blob(v.encode()) for k, v in fields.items())
     return struct.pack(">bbi", STRING, STRING, len(fields)) + pairs
 
 
 def frame(kind: int, name: str, seqid: int, body: bytes) -> bytes:
-    """A whole framed message; the body is the fields of its struct."""
+    """Encodes a complete framed message; `body` holds the encoded fields of its struct."""
     head = struct.pack(">I", VERSION << 16 | kind) + blob(name.encode()) + struct.pack(">i", seqid)
     return struct.pack(">i", len(head) + len(body) + 1) + head + body + b"\0"
 
 
-SERVE = b"\x80\x01\x00\x01\x00\x00\x00\x05serve"
-FIELDS = b"\x0d\x00\x01\x0b\x0b\x00\x00\x00"  # field 1, a map of texts with fewer than 256 entries
-BODY = b"\x0b\x00\x02\x00"  # field 2, of fewer than 2^24 bytes
+SERVE_HEAD = b"\x80\x01\x00\x01\x00\x00\x00\x05serve"
+FIELDS_HEAD = b"\x0d\x00\x01\x0b\x0b\x00\x00\x00"  # field 1, a map<string,string> with fewer than 256 entries
+BODY_HEAD = b"\x0b\x00\x02\x00"  # field 2, a binary of fewer than 2^24 bytes
 
 
 def read_serve(data: bytes, at: int, end: int) -> tuple[int, dict[bytes, bytes], bytes] | None:
-    """Sequence number, fields and body of a call of `serve` as usual clients write it, without a copy of the
-    whole; None where it is written in any other way, which `read_message` may still understand."""
-    if not data.startswith(SERVE, at):
+    """Parses a `serve` call in its usual encoding, without copying the frame.
+
+    Returns sequence number, fields and body; None for any other encoding, which `read_message` may still
+    parse.
+    """
+    if not data.startswith(SERVE_HEAD, at):
         return None
-    at += len(SERVE)
+    at += len(SERVE_HEAD)
     try:
         seqid = int.from_bytes(data[at : at + 4], "big", signed=True)
         at += 4
-        if not data.startswith(FIELDS, at):
+        if not data.startswith(FIELDS_HEAD, at):
             return None
-        at += len(FIELDS)
+        at += len(FIELDS_HEAD)
         count, at, fields = data[at], at + 1, {}
         for _ in range(count):
             if data[at] or data[at + 1]:
                 return None
-            stop = at + 4 + (data[at + 2] << 8 | data[at + 3])
-            key, at = data[at + 4 : stop], stop
+            end_at = at + 4 + (data[at + 2] << 8 | data[at + 3])
+            key, at = data[at + 4 : end_at], end_at
             if data[at] or data[at + 1]:
                 return None
-            stop = at + 4 + (data[at + 2] << 8 | data[at + 3])
-            fields[key], at = data[at + 4 : stop], stop
-        if not data.startswith(BODY, at):
+            end_at = at + 4 + (data[at + 2] << 8 | data[at + 3])
+            fields[key], at = data[at + 4 : end_at], end_at
+        if not data.startswith(BODY_HEAD, at):
             return None
         start = at + 7
-        stop = start + (data[at + 4] << 16 | data[at + 5] << 8 | data[at + 6])
-        if stop + 1 != end or data[stop]:
+        end_at = start + (data[at + 4] << 16 | data[at + 5] << 8 | data[at + 6])
+        if end_at + 1 != end or data[end_at]:
             return None
-        return seqid, fields, data[start:stop]
+        return seqid, fields, data[start:end_at]
     except IndexError:
         return None
 
 
-SERVED = struct.Struct(">iIi5sibhbhi")
-SERVED_END = field(MAP, 2, text_map({})) + field(BOOL, 3, b"\1") + b"\0\0"
+REPLY_HEAD = struct.Struct(">iIi5sibhbhi")
+REPLY_END = field(MAP, 2, text_map({})) + field(BOOL, 3, b"\1") + b"\0\0"
 
 
 def answer_parts(seqid: int, pages: tuple[bytes, ...]) -> list[bytes]:
-    """A good reply to `serve` that holds these pages one behind the other, in parts that need no joining."""
+    """Encodes a successful reply to `serve` that holds the pages, in parts to avoid copying them."""
     size = sum(map(len, pages))
-    head = SERVED.pack(
-        SERVED.size - 4 + size + len(SERVED_END),
+    head = REPLY_HEAD.pack(
+        REPLY_HEAD.size - 4 + size + len(REPLY_END),
         VERSION << 16 | REPLY,
         5,
         b"serve",
@@ -201,11 +231,11 @@
         1,
         size,
     )
-    return [head, *pages, SERVED_END]
+    return [head, *pages, REPLY_END]
 
 
 def answer(name: str, seqid: int, body: bytes, fields: dict[str, str], good: bool) -> bytes:
-    """A reply that holds an Answer."""
+    """Encodes a reply that holds an Answer struct."""
     inner = (
         field(STRING, 1, blob(body))
         + field(MAP, 2, text_map(fields))
@@ -216,11 +246,11 @@
 
 
 def thrown(name: str, seqid: int, number: int, fields: dict[str, str]) -> bytes:
-    """A reply that holds a declared exception: field 1 is Shed, 2 is Fault."""
+    """Encodes a reply that holds a declared exception: field 1 is Shed, 2 is Fault."""
     return frame(REPLY, name, seqid, field(STRUCT, number, field(MAP, 1, text_map(fields)) + b"\0"))
 
 
 def broken(name: str, seqid: int, kind: int, text: str) -> bytes:
-    """An application exception."""
+    """Encodes an application exception."""
     body = field(STRING, 1, blob(text.encode())) + field(I32, 2, struct.pack(">i", kind))
     return frame(EXCEPTION, name, seqid, body)
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -1,4 +1,4 @@
-"""DNS messages: dnspython as the oracle, and what is spoilt or never ends."""
+"""Tests of DNS messages, with dnspython as the oracle, and of corrupt and endless input."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from aspenrill.wire import Malformed
 from aspenrill.wire import dns as wire
 
-N = wire.name_of
+parse_name = wire.name_of
 NAMES = st.sampled_from(["a.example.", "b.a.example.", "_x._tcp.a.example.", "c.example."])
-NUMBER = st.integers(0, 65535)
+UINT16 = st.integers(0, 65535)
 RDATA = st.one_of(
     st.tuples(st.just("A"), st.ip_addresses(v=4).map(str)),
     st.tuples(st.just("AAAA"), st.ip_addresses(v=6).map(str)),
     st.tuples(st.just("PTR"), NAMES),
     st.tuples(st.just("CNAME"), NAMES),
     st.tuples(
-        st.just("SRV"), st.tuples(NUMBER, NUMBER, NUMBER, NAMES).map(lambda row: " ".join(map(str, row)))
+        st.just("SRV"), st.tuples(UINT16, UINT16, UINT16, NAMES).map(lambda row: " ".join(map(str, row)))
     ),
     st.tuples(st.just("TXT"), st.text("abc=;", max_size=9).map(lambda text: f'"{text}"')),
 )
-ROWS = st.lists(st.tuples(NAMES, st.integers(0, 2**31 - 1), RDATA), max_size=8)
+RECORDS = st.lists(st.tuples(NAMES, st.integers(0, 2**31 - 1), RDATA), max_size=8)
 
 
 def message(rows) -> dns.message.Message:
@@ -37,20 +37,20 @@
     return reply
 
 
-def as_oracle(found: dns.message.Message) -> list[tuple]:
+def rows_of(found: dns.message.Message) -> list[tuple]:
     return sorted(
         (rrset.name.to_text().lower(), int(rrset.rdtype), rrset.ttl, len(rrset)) for rrset in found.answer
     )
 
 
 @settings(derandomize=True, deadline=None, max_examples=150, database=None)
-@given(ROWS)
-def test_what_another_library_writes_is_read_alike(rows):
+@given(RECORDS)
+def test_messages_of_dnspython_are_parsed(rows):
     reply = wire.read_reply(message(rows).to_wire())
-    assert reply.edns and wire.fold(reply.question[0]) == N("_x._tcp.a.example")
+    assert reply.edns and wire.fold(reply.question[0]) == parse_name("_x._tcp.a.example")
     assert len(reply.records) == len(rows)
     for got, (name, ttl, (kind, data)) in zip(reply.records, rows, strict=True):
-        assert (got.name, got.ttl, got.kind) == (N(name), ttl, wire.KINDS[kind])
+        assert (got.name, got.ttl, got.kind) == (parse_name(name), ttl, wire.KINDS[kind])
         if kind in ("A", "AAAA"):
             assert ip_address(got.data) == ip_address(data)
         elif kind in ("PTR", "CNAME"):
@@ -61,8 +61,10 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=400, database=None)
-@given(ROWS, st.lists(st.tuples(st.integers(0, 400), st.integers(0, 255)), max_size=6), st.integers(0, 400))
-def test_spoilt_packets_end_as_malformed_or_as_the_other_library_reads_them(rows, changes, cut):
+@given(
+    RECORDS, st.lists(st.tuples(st.integers(0, 400), st.integers(0, 255)), max_size=6), st.integers(0, 400)
+)
+def test_corrupt_messages_are_malformed_or_parsed_as_dnspython_does(rows, changes, cut):
     data = bytearray(message(rows).to_wire())
     for at, value in changes:
         data[at % len(data)] = value
@@ -74,18 +76,18 @@
     try:
         other = dns.message.from_wire(data, ignore_trailing=True, one_rr_per_rrset=True)
     except Exception:
-        return  # stricter than ours in matters that are not used here
+        return  # dnspython is stricter about parts that this parser ignores
     if not reply.truncated:
         kinds = set(wire.KINDS.values())
         ours = sorted((wire.text_of(r.name).lower(), r.kind, r.ttl, 1) for r in reply.records)
-        theirs = [row for row in as_oracle(other) if row[1] in kinds]
+        theirs = [row for row in rows_of(other) if row[1] in kinds]
         if all(rrset.rdclass == 1 for rrset in other.answer):
             assert [row[1:3] for row in ours] == [row[1:3] for row in theirs]
 
 
 @settings(derandomize=True, deadline=None, max_examples=300, database=None)
 @given(st.binary(max_size=600))
-def test_noise_is_malformed_and_nothing_worse(data):
+def test_random_bytes_raise_nothing_but_malformed(data):
     try:
         wire.read_reply(b"\0\1\x80\0" + data)
     except Malformed:
@@ -102,15 +104,15 @@
         b"\x3f" + b"a" * 20,
         (b"\x3f" + b"a" * 63) * 5 + b"\0\0\x21\0\1",
     ],
-    ids=["itself", "in turns", "label and back", "forward", "cut", "long"],
+    ids=["itself", "alternating", "label and back", "forward", "truncated", "long"],
 )
-def test_names_that_never_end(tail):
+def test_names_without_an_end(tail):
     with pytest.raises(Malformed):
         wire.read_reply(wire.HEAD.pack(1, 0x8000, 1, 0, 0, 0) + tail)
 
 
-def test_a_packet_of_names_that_point_at_each_other_costs_little():
-    # 64 KB of records whose names are chains of pointers would hold the loop up for seconds
+def test_chained_compression_pointers_are_parsed_quickly():
+    # 64 KB of records whose names are chains of compression pointers must not block the loop for seconds
     head = (
         wire.HEAD.pack(1, 0x8000, 1, 4000, 0, 0)
         + b"".join(b"\x01a" for _ in range(120))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the parsers."""
+"""Tests of the wire parsers and encoders, mostly tables of cases."""
 
 from __future__ import annotations
 
@@ -67,13 +67,13 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n",
     ],
 )
-def test_a_broken_response_head_is_told(block):
+def test_invalid_response_heads(block):
     with pytest.raises(Malformed):
         _ = http1.response_head(block.decode("latin-1")).length
 
 
-def test_headers_cannot_be_broken_out_of():
-    # a key with a line break must not become a header of its own
+def test_a_header_value_cannot_inject_a_header():
+    # a line break in a value must not add a header
     with pytest.raises(Malformed):
         http1.request("POST", "/data", "h", {"X-Nonce": "a\r\nX-Ticket: b"})
 
@@ -94,8 +94,8 @@
 
 
 @pytest.mark.parametrize("cut", range(len(CALL)))
-def test_a_cut_thrift_message_is_told(cut):
-    # where its head can be read, an application exception can answer it
+def test_truncated_thrift_messages(cut):
+    # if its header can be parsed, it is answered by an application exception
     if cut < 4 + 4 + 5 + 4:
         with pytest.raises(Malformed):
             thrift.read_message(CALL[:cut])
@@ -114,15 +114,15 @@
         b"\0trailing",
     ],
 )
-def test_broken_thrift_arguments(body):
+def test_invalid_thrift_arguments(body):
     head = struct.pack(">I", 0x80010001) + thrift.blob(b"serve") + struct.pack(">i", 1)
     assert thrift.read_message(head + body).args is None
 
 
-def test_bulletin_frames_and_json_say_the_same():
+def test_bulletin_frames_and_json_decode_alike():
     record = struct.pack(">I4sHBBBHIQ", 0x00C41F7A, bytes([10, 1, 0, 9]), 8080, 1, 1, 0, 2, 4000, 1500)
-    news = bulletin.frame_news(41, bulletin.CHANGES, record)
-    told = {
+    update = bulletin.frame_news(41, bulletin.CHANGES, record)
+    item = {
         "no": 41,
         "roster": {
             "whole": False,
@@ -139,12 +139,12 @@
             ],
         },
     }
-    assert news == bulletin.json_news(told, ["west", "east"], ["std"])
+    assert update == bulletin.json_news(item, ["west", "east"], ["std"])
     assert bulletin.frame_news(41, bulletin.NOTHING, b"") is None
 
 
 @pytest.mark.parametrize("kind, payload", [(3, b""), (2, b"x" * 26), (2, b"\0" * 10 + b"\7" + b"\0" * 16)])
-def test_broken_bulletin_frames(kind, payload):
+def test_invalid_bulletin_frames(kind, payload):
     with pytest.raises(Malformed):
         bulletin.frame_news(1, kind, payload)
 
@@ -159,7 +159,7 @@
         None,
     ],
 )
-def test_broken_bulletin_json(item):
+def test_invalid_bulletin_json(item):
     with pytest.raises(Malformed):
         bulletin.json_news(item, [], [])
 
@@ -186,7 +186,7 @@
     assert tds.rows_as_text(b"".join(answer.tokens)) == ROWS
 
 
-def column(kind: int, info: bytes, value: bytes) -> bytes:
+def column_response(kind: int, info: bytes, value: bytes) -> bytes:
     return (
         bytes([tds.COLMETADATA])
         + struct.pack("<HIHB", 1, 0, 1, kind)
@@ -217,7 +217,7 @@
     ],
 )
 def test_tds_values(kind, info, value, text):
-    data = column(kind, info, value)
+    data = column_response(kind, info, value)
     reader = tds.TokenReader(1 << 16)
     reader.take(data)
     assert reader.answer.ended and tds.rows_as_text(b"".join(reader.answer.tokens)) == [[text]]
@@ -229,11 +229,11 @@
         b"\x00",
         bytes([tds.ROW]),
         tds.text_columns(["a"]) * 2,
-        column(0x63, b"", b""),
+        column_response(0x63, b"", b""),
         tds.text_columns(["a"]) + tds.text_row(["x" * 3000]) * 20 + tds.done(),
     ],
 )
-def test_broken_or_oversized_tds_answers(data):
+def test_invalid_or_oversized_tds_responses(data):
     with pytest.raises(Malformed):
         tds.TokenReader(20000).take(data)
 
@@ -243,8 +243,8 @@
     assert tds.read_login7(tds.login7(login, "secret")) == login
     assert tds.read_sql_batch(tds.sql_batch("select 'é'")) == "select 'é'"
     assert tds.read_prelogin(tds.prelogin())[1] == bytes([tds.NOT_SUPPORTED])
-    cut = tds.packets(tds.SQL_BATCH, b"x" * 1000, 512)
-    assert [tds.packet_head(cut[at : at + 8])[1:] for at in (0, 512)] == [(0, 504), (1, 496)]
+    encoded = tds.packets(tds.SQL_BATCH, b"x" * 1000, 512)
+    assert [tds.packet_head(encoded[at : at + 8])[1:] for at in (0, 512)] == [(0, 504), (1, 496)]
 
 
 @pytest.mark.parametrize(
@@ -260,7 +260,7 @@
         (tds.packet_head, struct.pack(">BBHHBB", 1, 1, 3, 0, 1, 0)),
     ],
 )
-def test_broken_tds_messages(read, body):
+def test_invalid_tds_messages(read, body):
     with pytest.raises(Malformed):
         read(body)
 
@@ -268,7 +268,7 @@
 NAME = ("_tds", "_tcp", "x", "local")
 
 
-def test_names_there_and_back():
+def test_names_round_trip():
     assert dns.name_of(dns.text_of(("a.b", "c\\d"))) == ("a.b", "c\\d")
 
 
@@ -281,7 +281,7 @@
         dns.HEAD.pack(1, 0x8000, 1, 0, 0, 0) + b"\x7fabc",
     ],
 )
-def test_broken_dns(data):
+def test_invalid_dns_messages(data):
     with pytest.raises(Malformed):
         dns.read_reply(data)
 
@@ -320,7 +320,7 @@
         ({}, b"a\tb\tc\n", 1),
     ],
 )
-def test_what_cannot_be_a_page_is_never_passed_on(fields, body, number):
+def test_invalid_pages(fields, body, number):
     with pytest.raises(Malformed):
         http1.check_page(http1.Head(200, fields), body, number)
 
@@ -329,14 +329,14 @@
     "fields, body, number",
     [(PAGE, b"a\tb\tc\nd\te\t\n", 0), ({"x-batches": "1"}, b"", 0), ({"x-batch": "1"}, b"a\tb\tc\n", 1)],
 )
-def test_whole_rows_are_a_page(fields, body, number):
+def test_valid_pages(fields, body, number):
     http1.check_page(http1.Head(200, fields), body, number)
 
 
 @pytest.mark.parametrize(
     "line", [b"0x10\r\n", b"1_0\r\n", b"+5\r\n", b"-1\r\n", b"\r\n", b"fffffff\r\n", b"5" * 5000]
 )
-def test_chunk_sizes_that_are_none(line):
+def test_invalid_chunk_sizes(line):
     with pytest.raises(Malformed):
         http1.chunk_size(line)
 
@@ -350,7 +350,7 @@
         {"content-length": "4", "transfer-encoding": "chunked"},
     ],
 )
-def test_lengths_that_cannot_be_used(fields):
-    # one that claims more than any answer holds must not be buffered
+def test_unusable_content_lengths(fields):
+    # a body larger than any valid response must not be buffered
     with pytest.raises(Malformed):
         assert http1.Head(200, fields).length is None
