--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -51,7 +51,7 @@
         self.faults = 0
         self.most_engines = MOST_ENGINES  # in the list: it bounds the memory
         self.tell: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
-        self.kept: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
+        self.kept: Any = None  # `fleet.kept.front.AnswerCache`, if answers are cached or purged
         self.fleet: Any = None  # `fleet.request_feed.RequestFeed`, which counts arrivals and ends
 
     def run(self) -> None:
@@ -108,7 +108,7 @@
         return True
 
     def _on_tired(self, tired: books.Tired) -> None:
-        if self.kept.tired(tired.call) and tired.call.open:
+        if self.kept.stop_waiting(tired.call) and tired.call.open:
             self._start_request(tired.call)
 
     def _start_request(self, request: Call) -> None:
@@ -167,7 +167,7 @@
         if freed is not None:
             for other in freed.served:
                 self._final(other, Served(end.result))
-            for other in freed.go_on:
+            for other in freed.to_send:
                 self._start_request(other)
 
     def _on_note(self, note: books.Noted) -> None:
--- a/aspenrill/fleet/authority/__init__.py
+++ b/aspenrill/fleet/authority/__init__.py
@@ -3,7 +3,7 @@
 Design: docs/design/together-authority.md.
 """
 
-from .part import NAME, AuthorityPart
+from .part import NAME, AuthorityComponent
 from .rules import Rules
 
-__all__ = ["NAME", "AuthorityPart", "Rules"]
+__all__ = ["NAME", "AuthorityComponent", "Rules"]
--- a/aspenrill/fleet/authority/follow.py
+++ b/aspenrill/fleet/authority/follower.py
@@ -52,7 +52,7 @@
             )  # it may be in transit
         self.highest_agreed = max(self.highest_agreed, number)
 
-    def regroup(self) -> None:
+    def on_members_changed(self) -> None:
         """The set of running members has changed."""
         self._tree = None
 
--- a/aspenrill/fleet/authority/part.py
+++ b/aspenrill/fleet/authority/part.py
@@ -20,7 +20,7 @@
 from ...errors import DiskTrouble, StateTrouble
 from ..interface import Effect, Entry, LogLine, Member, Notify, Post, Put, Store, View
 from .election import Election
-from .follow import LogFollower
+from .follower import LogFollower
 from .rules import MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_KIND_BYTES, MAX_PROPOSALS, MAX_UNAGREED, Rules
 from .table import Change, Table
 from .voter import Voter
@@ -52,7 +52,7 @@
 MAX_RECORD_MESSAGES = 4  # `Accept` messages with records to one voter in one call
 
 
-class AuthorityPart:
+class AuthorityComponent:
     """Implements `interface.Authority` in every process. `rng` provides the random delays."""
 
     name = NAME
@@ -93,19 +93,19 @@
             return False
         leadership = self.election.leadership
         leases_expired = leadership.is_first or now >= leadership.won_at + self.rules.grantor_duration(
-            self.rules.longest
+            self.rules.max_grant
         )
         return leases_expired and self.table.last >= leadership.recovered_to
 
     def epoch(self) -> int:
         """The highest epoch seen."""
-        return self.follow.highest_epoch
+        return self.follower.highest_epoch
 
     def accept_epoch(self, epoch: int) -> bool:
         """Whether an order of this epoch is valid. If so, orders of lower epochs are refused from now on."""
-        if epoch < self.follow.highest_epoch:
+        if epoch < self.follower.highest_epoch:
             return False
-        self.follow.highest_epoch = epoch
+        self.follower.highest_epoch = epoch
         return True
 
     def propose(self, now: float, kind: str, key: str, body: bytes) -> list[Effect]:
@@ -130,7 +130,7 @@
     def on_start(self, now: float, view: View, stored: Mapping[str, bytes]) -> list[Effect]:
         """Restores the stored state. Raises StateTrouble if any of it is malformed."""
         self.view, self.table = view, Table()
-        self.follow = LogFollower(self.rules, self.table, view, self.rng, now)
+        self.follower = LogFollower(self.rules, self.table, view, self.rng, now)
         effects: list[Effect] = []
         try:
             self.stored_epoch = decode_as(int, stored[SEEN_EPOCH_KEY]) if SEEN_EPOCH_KEY in stored else 0
@@ -139,7 +139,7 @@
                 effects = self.voter.load(now, stored)
         except (msgspec.DecodeError, ValueError) as error:
             raise StateTrouble(f"records of {NAME} of {view.name}: {error}") from None
-        self.follow.highest_epoch = self.stored_epoch
+        self.follower.highest_epoch = self.stored_epoch
         if self.voter is not None:
             self.election = Election(self.rules, view.name, view.incarnation, self.voter, self.rng, now)
             self._note_epoch(self.voter.promise.epoch if self.voter.promise is not None else 0)
@@ -148,7 +148,7 @@
 
     def on_member(self, now: float, member: Member) -> list[Effect]:
         """A member has changed."""
-        self.follow.regroup()
+        self.follower.on_members_changed()
         return []
 
     def on_entry(self, now: float, entry: Entry) -> list[Effect]:
@@ -160,7 +160,7 @@
         except msgspec.DecodeError:
             return []
         self._note_epoch(position.epoch)
-        self.follow.note_agreed(now, position.number)
+        self.follower.note_agreed(now, position.number)
         return self._finish_call(now)
 
     def on_message(self, now: float, sender: str, incarnation: int, body: bytes) -> list[Effect]:
@@ -174,7 +174,7 @@
     def on_tick(self, now: float) -> list[Effect]:
         """Runs fetches, election and renewals that are due."""
         self._acknowledge_own()
-        effects = self.follow.tick(now)
+        effects = self.follower.tick(now)
         if self.election is not None and not self.disk_failed:
             effects += self.election.tick(now)
         return effects + self._finish_call(now)
@@ -205,11 +205,11 @@
 
     def _handle(self, now: float, sender: str, incarnation: int, message: Message) -> list[Effect]:
         if isinstance(message, Fetch):
-            return self.follow.on_fetch(now, sender, message)
+            return self.follower.on_fetch(now, sender, message)
         if isinstance(message, Chunk):
             self._note_epoch(message.epoch)
             before = self.table.last
-            change = self.follow.on_chunk(now, sender, message)
+            change = self.follower.on_chunk(now, sender, message)
             return self._after_change(now, before, change) if change is not None else []
         if self.voter is None or self.disk_failed or sender == self.view.name:
             return []
@@ -224,7 +224,7 @@
                 effects = election.on_lease_request(now, sender, incarnation, message)
                 if self.voter.promise is not None:
                     self._note_epoch(self.voter.promise.epoch)
-                self.follow.note_agreed(now, message.number)
+                self.follower.note_agreed(now, message.number)
                 return effects
             case Vote():
                 return election.on_vote(now, sender, incarnation, message)
@@ -233,7 +233,7 @@
             case ReadLog():
                 return election.on_read_log(now, sender, incarnation, message)
             case LogTail():
-                self.follow.note_agreed(now, message.number)
+                self.follower.note_agreed(now, message.number)
                 return election.on_log_tail(now, sender, incarnation, message)
             case Accept():
                 return self._on_accept(now, sender, incarnation, message)
@@ -250,7 +250,7 @@
             case NeverGranted():
                 return election.on_never_granted(now, sender, message)
             case Admission():
-                self.follow.note_agreed(now, message.number)
+                self.follower.note_agreed(now, message.number)
                 return election.on_admission(now, sender, incarnation, message)
         return []
 
@@ -264,7 +264,7 @@
         if accept.incarnation != incarnation:
             return []
         accepted, effects = self.voter.accept(sender, incarnation, accept)
-        self.follow.note_agreed(now, accept.number)
+        self.follower.note_agreed(now, accept.number)
         if not accepted:
             return []
         before = self.table.last
@@ -283,7 +283,7 @@
         effects: list[Effect] = [Notify(record.to_agreed()) for record in change.new_records]
         if self.voter is not None and not self.disk_failed:
             effects += self.voter.persist(change) + self.voter.join_if_caught_up(now)
-        return effects + self.follow.forward(before)
+        return effects + self.follower.forward(before)
 
     # ---- at the end of each call ----------------------------------------------------------------------
 
@@ -294,18 +294,18 @@
             leadership.record_ack(self.view.name, self.voter.accepted_to(leadership.epoch))
 
     def _note_epoch(self, epoch: int) -> None:
-        self.follow.highest_epoch = max(self.follow.highest_epoch, epoch)
+        self.follower.highest_epoch = max(self.follower.highest_epoch, epoch)
 
     def _finish_call(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        if self.follow.highest_epoch > self.stored_epoch and not self.disk_failed:
-            self.stored_epoch = self.follow.highest_epoch
+        if self.follower.highest_epoch > self.stored_epoch and not self.disk_failed:
+            self.stored_epoch = self.follower.highest_epoch
             effects.append(Store(SEEN_EPOCH_KEY, encode(self.stored_epoch)))
         leadership = self.election.leadership if self.election is not None and not self.disk_failed else None
         if leadership is None:
             self.proposals.clear()
             return effects + self._withdraw_position()
-        self.election.highest_epoch = max(self.election.highest_epoch, self.follow.highest_epoch)
+        self.election.highest_epoch = max(self.election.highest_epoch, self.follower.highest_epoch)
         if leadership.won_at is None:
             if not leadership.pre_voting and leadership.recovery_complete(now, self.table.last):
                 effects += self._win(now)
--- a/aspenrill/fleet/authority/wire.py
+++ b/aspenrill/fleet/authority/wire.py
@@ -12,14 +12,14 @@
 from msgspec import Meta, Struct
 
 from ..interface import MAX_BODY, Agreed, Post
-from .rules import LONGEST_SPAN, MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_KIND_BYTES, MAX_UNAGREED
+from .rules import MAX_BODY_BYTES, MAX_KEY_BYTES, MAX_KIND_BYTES, MAX_LEASE_S, MAX_UNAGREED
 
 MAX_NUMBER = 2**53 - 1
 AGREED_BALLOT = MAX_NUMBER  # ballot of a record that is known to be agreed; higher than any epoch
 
 Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
 Epoch = Annotated[int, Meta(ge=0, lt=MAX_NUMBER)]
-Seconds = Annotated[float, Meta(ge=0, le=LONGEST_SPAN)]
+Seconds = Annotated[float, Meta(ge=0, le=MAX_LEASE_S)]
 
 
 class Record(Struct, frozen=True, array_like=True):
--- a/aspenrill/fleet/components.py
+++ b/aspenrill/fleet/components.py
@@ -14,17 +14,17 @@
 
 from .. import api
 from ..reader import Reader
-from .authority import AuthorityPart
+from .authority import AuthorityComponent
 from .authority import Rules as AuthorityRules
-from .authority.rules import LONGEST_SPAN, MOST_VOTERS
+from .authority.rules import MAX_LEASE_S, MAX_VOTERS
 from .config import Config
 from .groups.part import GroupRules, Groups
 from .groups.schedule import ScheduleRules
 from .groups.splits import SplitRules
 from .interface import Component
-from .kept.front import Kept, LoadNews
+from .kept.front import AnswerCache, LoadUpdate
 from .kept.policy import Policy, PurgeSettings, read_kept, read_purges
-from .kept.store import Store
+from .kept.store import AnswerStore
 from .overload.part import OverloadComponent
 from .overload.rules import Rules as OverloadRules
 from .purges.part import Purges
@@ -47,11 +47,11 @@
     """The enabled components; None for a disabled one. `store`: the answer cache, `policy`: what is
     cached."""
 
-    authority: AuthorityPart | None = None
+    authority: AuthorityComponent | None = None
     purges: Purges | None = None
     groups: Groups | None = None
     overload: OverloadComponent | None = None
-    store: Store = field(default_factory=Store)
+    store: AnswerStore = field(default_factory=AnswerStore)
     policy: Policy = field(default_factory=Policy)
     purge_settings: PurgeSettings = field(default_factory=PurgeSettings)
     splits_file: str = ""
@@ -65,9 +65,9 @@
             if component is not None
         )
 
-    def answer_cache(self, on_load: Callable[[LoadNews], None]) -> Kept | None:
+    def answer_cache(self, on_load: Callable[[LoadUpdate], None]) -> AnswerCache | None:
         """The owner's interface to the answer cache, if purges are enabled; `on_load` receives loads."""
-        return Kept(self.store, self.policy, on_load, boottime) if self.purges is not None else None
+        return AnswerCache(self.store, self.policy, on_load, boottime) if self.purges is not None else None
 
 
 def current_hour(now: float) -> int:
@@ -99,9 +99,9 @@
     if overload is not None:
         components.overload = overload
     if authority is not None:
-        components.authority = AuthorityPart(authority, rng)
+        components.authority = AuthorityComponent(authority, rng)
     if components.purge_settings.enabled:
-        components.store = Store(components.policy.bounds)
+        components.store = AnswerStore(components.policy.bounds)
         components.purges = Purges(
             rng, components.store, components.authority, components.purge_settings.lease, caches_answers
         )
@@ -113,8 +113,8 @@
 def _enabled(row: Reader, config: Config) -> bool:
     """Whether the component is enabled; this requires voters."""
     enabled = row.flag("enabled", False)
-    if enabled and not 1 <= len(config.voters) <= MOST_VOTERS:
-        row.fault("enabled", f"voters: 1 to {MOST_VOTERS} names are wanted, got {len(config.voters)}")
+    if enabled and not 1 <= len(config.voters) <= MAX_VOTERS:
+        row.fault("enabled", f"voters: 1 to {MAX_VOTERS} names are wanted, got {len(config.voters)}")
         return False
     return enabled
 
@@ -144,20 +144,20 @@
 def _authority(row: Reader, config: Config, purge_settings: PurgeSettings) -> AuthorityRules | None:
     defaults = AuthorityRules(("any",))
     enabled = _enabled(row, config)
-    lease = row.number("lease_s", defaults.lease, 0.3, LONGEST_SPAN)
-    renew = row.number("renew_s", defaults.renew, 0.05, LONGEST_SPAN)
-    margin = row.number("margin_s", defaults.margin, 0, LONGEST_SPAN)
-    longest = row.number("longest_s", purge_settings.lease, 0, 3600)
+    lease = row.number("lease_s", defaults.lease, 0.3, MAX_LEASE_S)
+    renew = row.number("renew_s", defaults.renew, 0.05, MAX_LEASE_S)
+    margin = row.number("margin_s", defaults.margin, 0, MAX_LEASE_S)
+    max_grant = row.number("longest_s", purge_settings.lease, 0, 3600)
     if renew * 3 > lease:
         row.fault("renew_s", "a third of lease_s at most")
-    if longest < purge_settings.lease:
+    if max_grant < purge_settings.lease:
         row.fault(
-            "longest_s", f"at least lease_s of purges, {purge_settings.lease:g}, is wanted, got {longest:g}"
+            "longest_s", f"at least lease_s of purges, {purge_settings.lease:g}, is wanted, got {max_grant:g}"
         )
     row.end()
     if not enabled or config.faults:
         return None if not enabled else AuthorityRules(config.voters)
-    return AuthorityRules(config.voters, lease, renew, margin, longest)
+    return AuthorityRules(config.voters, lease, renew, margin, max_grant)
 
 
 def _groups(row: Reader, config: Config, components: Components) -> GroupRules | None:
@@ -175,7 +175,7 @@
     )
     schedule.end()
     split_rules = SplitRules(
-        most_at_once=int(splits.number("most_at_once", split_defaults.most_at_once, 1, 16)),
+        max_concurrent=int(splits.number("most_at_once", split_defaults.max_concurrent, 1, 16)),
         notice=splits.number("notice_s", split_defaults.notice, 0, 7 * 86400),
         warm=splits.number("warm_s", split_defaults.warm, 0, 86400),
         spread=splits.number("spread_s", split_defaults.spread, 1, 86400),
--- a/aspenrill/fleet/groups/owner_file.py
+++ b/aspenrill/fleet/groups/owner_file.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from ..atomic_file import write_atomically
-from .splits import SplitNews
+from .splits import SplitsUpdate
 
 
-def render(update: SplitNews) -> bytes:
+def render(update: SplitsUpdate) -> bytes:
     """The file's content: all known splits, and the map by group."""
     return (
         msgspec.json.format(
@@ -19,21 +19,21 @@
                     "map_version": update.map.version,
                     "groups": {
                         str(group): {
-                            "parts": shape.parts,
-                            "since_version": shape.version,
-                            "split": shape.split,
+                            "parts": layout.parts,
+                            "since_version": layout.version,
+                            "split": layout.split,
                         }
-                        for group, shape in sorted(update.map.shapes.items())
+                        for group, layout in sorted(update.map.layouts.items())
                     },
                     "splits": [
                         {
                             "id": s.id,
                             "group": s.group,
-                            "from_parts": s.was,
+                            "from_parts": s.parts_before,
                             "to_parts": s.parts,
                             "step": s.step.name.lower(),
-                            "window_hour": s.at,
-                            "limit_hour": s.before,
+                            "window_hour": s.window_start,
+                            "limit_hour": s.limit_hour,
                             "engines": list(s.engines),
                             "reason": s.reason,
                         }
@@ -46,6 +46,6 @@
     )
 
 
-def write(path: Path, update: SplitNews) -> bool:
+def write(path: Path, update: SplitsUpdate) -> bool:
     """Writes the file if its content has changed; whether it did. Raises DiskTrouble."""
     return write_atomically(path, render(update))
--- a/aspenrill/fleet/groups/part.py
+++ b/aspenrill/fleet/groups/part.py
@@ -1,7 +1,7 @@
 """The component for table groups: counts and replicates; the coordinator also forecasts and plans splits.
 
-The owner calls `count` for what was written and `tell` with its state, and routes by the facts that come back
-(`splits.MapNews`, `WarmNews`). `SplitNews` is for the driver, which writes `owner_file`.
+The owner calls `count` for what was written and `update_owner` with its state, and routes by the facts that
+come back (`splits.MapUpdate`, `WarmUp`). `SplitsUpdate` is for the driver, which writes `owner_file`.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 )
 from .route import Router
 from .schedule import Outlook, Plan, Scheduler, ScheduleRules
-from .splits import Facts, SplitRules, Splits
-from .telling import CounterSync, TellRules
+from .splits import OwnerState, SplitRules, Splits
+from .sync import CounterSync, SyncRules
 
 MAP_TOPIC = "groups.map"  # topic: version of the map that a process routes by
 CANCEL_TOPIC = "groups.off"  # topic: splits cancelled by operators
@@ -42,7 +42,8 @@
 class GroupRules:
     """Settings of table groups.
 
-    Counters are sent to a collector every `tell` seconds, and stored by collectors every `store` seconds.
+    Counters are sent to a collector every `send_interval` seconds, and stored by collectors every
+    `store_interval` seconds.
     `collectors` are the voters, `homes` the number of home engines of a part, `sizes` the bytes that groups
     held before counting began.
     """
@@ -50,11 +51,11 @@
     collectors: tuple[str, ...]
     schedule: ScheduleRules
     homes: int = 1
-    tell: float = 60.0
-    store: float = 300.0
+    send_interval: float = 60.0
+    store_interval: float = 300.0
     sizes: Mapping[int, float] = field(default_factory=dict)
     counts: CountRules = CountRules()
-    telling: TellRules = TellRules()
+    sync: SyncRules = SyncRules()
     splits: SplitRules = SplitRules()
     forecast: ForecastRules = ForecastRules()
 
@@ -86,12 +87,12 @@
         """Counts what a load has written: rows, bytes, core-milliseconds of work. Cheap; sends nothing."""
         self.counts.add(group, rows, size, work)
 
-    def tell(self, now: float, facts: Facts) -> list[Effect]:
-        """Takes the owner's state; needed every `SplitRules.fresh` seconds, or no step is taken."""
+    def update_owner(self, now: float, facts: OwnerState) -> list[Effect]:
+        """Takes the owner's state; needed every `SplitRules.max_state_age` seconds, or no step is taken."""
         self.splits.update_owner(now, facts)
         return []
 
-    def call_off(self, now: float, split_id: str) -> list[Effect]:
+    def cancel_split(self, now: float, split_id: str) -> list[Effect]:
         """Cancels a split on behalf of an operator, unless it is in the map already."""
         split = self.splits.splits.get(split_id)
         if split is None or split.step >= Step.SWITCHED or split_id in self.cancelled:
@@ -105,7 +106,7 @@
         """Restores stored hours, and seals the counters of the previous incarnation."""
         self.view = view
         self.counts = Counts(self.rules.counts, view.name, view.incarnation, self.hour_of(now))
-        self.sync = CounterSync(self.rules.telling, self.rules.collectors, self.counts)
+        self.sync = CounterSync(self.rules.sync, self.rules.collectors, self.counts)
         self.sent_at = self.stored_at = now
         damaged = [
             key
@@ -158,7 +159,7 @@
         """Replicates counters and closes hours; the coordinator also checks one group and takes steps."""
         counts, hour = self.counts, self.hour_of(now)
         effects: list[Effect] = []
-        due = not 0 <= now - self.sent_at < self.rules.tell
+        due = not 0 <= now - self.sent_at < self.rules.send_interval
         if due or hour != counts.hour:
             self.sent_at = now
             keys = counts.advance_to(hour) + counts.flush()
@@ -171,12 +172,12 @@
         if self.announced_version is None:
             effects += self._announce_version()
         if self.cancelled and all(
-            i not in self.splits.splits or self.splits.splits[i].step.over for i in self.cancelled
+            i not in self.splits.splits or self.splits.splits[i].step.is_final for i in self.cancelled
         ):
             self.cancelled = ()
             effects.append(Put(CANCEL_TOPIC, b""))
         effects += self.splits.tick(
-            now, counts.hour, self._cancelled_ids(), self.scheduler.wanted, self._all_route_by
+            now, counts.hour, self._cancelled_ids(), self.scheduler.drop_reason, self._all_route_by
         )
         if self.splits.may_act(now):
             effects += self._plan_next_group(now)
@@ -204,7 +205,7 @@
         if closed_hours:
             self.revisions += 1
             self.sync.enqueue_totals(closed_hours)
-        if 0 <= now - self.stored_at < self.rules.store:
+        if 0 <= now - self.stored_at < self.rules.store_interval:
             return []
         self.stored_at = now
         changed, counts.unsaved_hours = sorted(counts.unsaved_hours), set()
@@ -260,7 +261,7 @@
         if group is None:
             return []
         self.forecasted[group] = state
-        self.scheduler.look(self.outlook(group), self.splits.splits)
+        self.scheduler.update_outlook(self.outlook(group), self.splits.splits)
         if (
             not self.splits.is_calm(now)
             or not self.splits.may_plan(group, now)
@@ -312,5 +313,12 @@
             names.pop()
         split_id = f"g{plan.group}-{plan.parts}-v{self.splits.map.version}-h{self.counts.hour}"
         return Split(
-            split_id, plan.group, plan.was, plan.parts, Step.PROPOSED, plan.at, plan.before, tuple(names)
+            split_id,
+            plan.group,
+            plan.parts_before,
+            plan.parts,
+            Step.PROPOSED,
+            plan.window_start,
+            plan.limit_hour,
+            tuple(names),
         )
--- a/aspenrill/fleet/groups/records.py
+++ b/aspenrill/fleet/groups/records.py
@@ -70,7 +70,7 @@
     DROPPED = 6
 
     @property
-    def over(self) -> bool:
+    def is_final(self) -> bool:
         """Whether no step follows."""
         return self >= Step.DONE
 
@@ -78,22 +78,23 @@
 class Split(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """Log record of kind "split", repeated in full at each step.
 
-    The group goes from `was` to `parts` parts. `at` is the first hour of the split's window, `before` the
-    hour in which the 90% forecast reaches the limit, `engines` the old and new home engines at planning time.
+    The group goes from `parts_before` to `parts` parts. `window_start` is the first hour of the split's
+    window, `limit_hour` the hour in which the 90% forecast reaches the limit, `engines` the old and new home
+    engines at planning time.
     """
 
     id: Name
     group: GroupId
-    was: Parts
+    parts_before: Parts
     parts: Parts
     step: Step
-    at: Hour
-    before: Hour
+    window_start: Hour
+    limit_hour: Hour
     engines: Annotated[tuple[Name, ...], Meta(max_length=16)] = ()
     reason: Annotated[str, Meta(max_length=120)] = ""
 
 
-class Shape(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class Layout(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """Log record of kind "map", keyed by group: its number of parts from this version of the map on."""
 
     version: Annotated[int, Meta(ge=1, le=MAX_COUNT)]
--- a/aspenrill/fleet/groups/route.py
+++ b/aspenrill/fleet/groups/route.py
@@ -15,12 +15,12 @@
 
 import xxhash
 
-from .records import Shape
+from .records import Layout
 
 MAX_CACHED_ORDERS = 1024  # cached orders of engines, by group and part
 
 
-def part_of(group: int, key: bytes | None, parts: int) -> int:
+def part_for_key(group: int, key: bytes | None, parts: int) -> int:
     """The part that holds a key; part 0 without a key.
 
     When the number of parts doubles, each key stays or moves to its part + the old number.
@@ -28,7 +28,7 @@
     return 0 if key is None or parts == 1 else xxhash.xxh3_64_intdigest(key, group) % parts
 
 
-def order(group: int, part: int, engines: Sequence[str]) -> tuple[str, ...]:
+def engine_order(group: int, part: int, engines: Sequence[str]) -> tuple[str, ...]:
     """Engines in the affinity order of a part, the same at every process; ties are broken by name."""
     label = f"{group}" if part == 0 else f"{group}.{part}"
     return tuple(
@@ -41,19 +41,19 @@
     """One version of the map: the layout of each group that was ever split."""
 
     version: int = 0
-    shapes: Mapping[int, Shape] = field(default_factory=dict)
+    layouts: Mapping[int, Layout] = field(default_factory=dict)
 
     def parts(self, group: int) -> int:
         """Number of parts of a group; 1 if it was never split."""
-        shape = self.shapes.get(group)
-        return shape.parts if shape else 1
+        layout = self.layouts.get(group)
+        return layout.parts if layout else 1
 
-    def with_shape(self, shape: Shape) -> Map:
+    def with_layout(self, layout: Layout) -> Map:
         """The map with this layout; unchanged if a layout as new is known of the group."""
-        old = self.shapes.get(shape.group)
-        if old is not None and old.version >= shape.version:
+        old = self.layouts.get(layout.group)
+        if old is not None and old.version >= layout.version:
             return self
-        return Map(max(self.version, shape.version), {**self.shapes, shape.group: shape})
+        return Map(max(self.version, layout.version), {**self.layouts, layout.group: layout})
 
 
 class Router:
@@ -70,7 +70,7 @@
 
     def key_order(self, map_: Map, group: int, key: bytes | None) -> tuple[str, ...]:
         """All engines, the home engines of this key first."""
-        return self.part_order(group, part_of(group, key, map_.parts(group)))
+        return self.part_order(group, part_for_key(group, key, map_.parts(group)))
 
     def part_order(self, group: int, part: int) -> tuple[str, ...]:
         """All engines, the home engines of this part first."""
@@ -78,7 +78,7 @@
         if pair not in self.cached_orders:
             if len(self.cached_orders) >= MAX_CACHED_ORDERS:
                 self.cached_orders.clear()
-            self.cached_orders[pair] = order(group, part, self.engines)
+            self.cached_orders[pair] = engine_order(group, part, self.engines)
         return self.cached_orders[pair]
 
     def allowed(self, maps: Sequence[Map], group: int, key: bytes | None) -> tuple[str, ...]:
--- a/aspenrill/fleet/groups/schedule.py
+++ b/aspenrill/fleet/groups/schedule.py
@@ -20,7 +20,7 @@
     """Limits of one part of a group, and times in hours.
 
     `bytes` is what an engine holds warm, `work` the core-milliseconds of loads in the busiest hour. A plan is
-    cancelled if the forecast stays below `cancel_share` of the limits in `looks` hourly checks, or
+    cancelled if the forecast stays below `cancel_share` of the limits in `cancel_checks` hourly checks, or
     if its window is more than `max_delay` after the limit is reached. A split multiplies the parts by
     `factor`.
     """
@@ -32,7 +32,7 @@
     margin: int = DAY
     window: int = 2
     cancel_share: float = 0.85
-    looks: int = 12
+    cancel_checks: int = 12
     factor: int = 2
     max_parts: int = 64
     max_delay: int = DAY
@@ -54,10 +54,10 @@
     """A split to propose; the fields are those of `Split`."""
 
     group: int
-    was: int
+    parts_before: int
     parts: int
-    at: int
-    before: int
+    window_start: int
+    limit_hour: int
 
 
 def limit_hour(outlook: Outlook, parts: int, rules: ScheduleRules, share: float = 1.0) -> int | None:
@@ -100,25 +100,25 @@
         self.outlooks: dict[int, Outlook] = {}
         self.low_checks: dict[str, int] = {}
 
-    def look(self, outlook: Outlook, splits: Mapping[str, Split]) -> None:
+    def update_outlook(self, outlook: Outlook, splits: Mapping[str, Split]) -> None:
         """Takes a new outlook of a group."""
         self.outlooks[outlook.group] = outlook
         for split in splits.values():
-            if split.group == outlook.group and not split.step.over:
-                reached_at = limit_hour(outlook, split.was, self.rules, self.rules.cancel_share)
+            if split.group == outlook.group and not split.step.is_final:
+                reached_at = limit_hour(outlook, split.parts_before, self.rules, self.rules.cancel_share)
                 unneeded = reached_at is None or reached_at > outlook.last + 1.25 * self.rules.lead
                 self.low_checks[split.id] = self.low_checks.get(split.id, 0) + 1 if unneeded else 0
         self.low_checks = {split_id: n for split_id, n in self.low_checks.items() if split_id in splits}
 
-    def wanted(self, split: Split) -> str | None:
+    def drop_reason(self, split: Split) -> str | None:
         """Why a split should be dropped; None if it is still needed."""
-        if self.low_checks.get(split.id, 0) >= self.rules.looks:
+        if self.low_checks.get(split.id, 0) >= self.rules.cancel_checks:
             return "the forecast stays below the limit"
         outlook = self.outlooks.get(split.group)
         if outlook is not None:
-            limit = limit_hour(outlook, split.was, self.rules)
+            limit = limit_hour(outlook, split.parts_before, self.rules)
             earliest = max(outlook.last + self.rules.notice, limit or 0)
-            if limit is not None and split.at > earliest + self.rules.max_delay:
+            if limit is not None and split.window_start > earliest + self.rules.max_delay:
                 return "the limit comes before its window"
         return None
 
--- a/aspenrill/fleet/groups/splits.py
+++ b/aspenrill/fleet/groups/splits.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from ..interface import Agreed, Authority, Effect, LogLine, Notify
-from .records import Shape, Split, Step, pack, read
+from .records import Layout, Split, Step, pack, read
 from .route import Map, Router
 
 MAX_OPEN_SPLITS = 16  # planned splits that are not finished
@@ -36,24 +36,24 @@
 
     `notice` is the time between proposed and agreed, in which an operator may cancel, `warm` the time for new
     homes to warm up. After `spread` the old homes are no longer allowed, even if some process has not
-    announced the new map. After a dropped split no other of its group is planned for `rest`. Finished splits
-    are removed after `forget`. A pending proposal is repeated after `again`. No step is taken unless the
-    owner's state is at most `fresh` old.
+    announced the new map. After a dropped split no other of its group is planned for `backoff`. Finished
+    splits are removed after `forget_after`. A pending proposal is repeated after `repeat_after`. No step is
+    taken unless the owner's state is at most `max_state_age` old.
     """
 
-    most_at_once: int = 2
+    max_concurrent: int = 2
     notice: float = 300.0
     warm: float = 600.0
     spread: float = 120.0
     window: int = 2
-    rest: float = 6 * 3600.0
-    forget: float = 86400.0
-    again: float = 5.0
-    fresh: float = 30.0
+    backoff: float = 6 * 3600.0
+    forget_after: float = 86400.0
+    repeat_after: float = 5.0
+    max_state_age: float = 30.0
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class OwnerState:
     """The owner's state: whether there is a storm or an outage, and the live engines."""
 
     storm: bool
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MapNews:
+class MapUpdate:
     """For the owner: route requests by this map. Groups in `spreading` may still be routed by the old one."""
 
     map: Map
@@ -70,14 +70,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WarmNews:
+class WarmUp:
     """For the owner: warm up the new home engines of this split."""
 
     split: Split
 
 
 @dataclass(frozen=True, slots=True)
-class SplitNews:
+class SplitsUpdate:
     """For the driver, which writes the owner's file: all known splits, and the map."""
 
     splits: tuple[Split, ...]
@@ -101,7 +101,7 @@
         self.step_since: dict[str, float] = {}  # when this process learned of its current step
         self.map = Map()
         self.pending: dict[tuple[str, str], PendingProposal] = {}
-        self.facts: Facts | None = None
+        self.facts: OwnerState | None = None
         self.facts_at = 0.0
 
     # ---- records of the log ---------------------------------------------------------------------------
@@ -130,45 +130,45 @@
         self.splits[split.id], self.step_since[split.id] = split, now
         effects: list[Effect] = [LogLine(log_line(split)), self._splits_update()]
         if split.step == Step.WARMING:
-            effects.append(Notify(WarmNews(split)))
+            effects.append(Notify(WarmUp(split)))
         return effects + [self._map_update()] if split.step >= Step.SWITCHED else effects
 
     def _map_agreed(self, now: float, record: Agreed) -> list[Effect]:
-        shape = read(record.body, Shape)
-        if shape is None or str(shape.group) != record.key:
+        layout = read(record.body, Layout)
+        if layout is None or str(layout.group) != record.key:
             return []
-        before, self.map = self.map, self.map.with_shape(shape)
+        before, self.map = self.map, self.map.with_layout(layout)
         if self.map is before:
             return []
-        note = f"map {self.map.version}: group {shape.group} has {shape.parts} parts, by {shape.split}"
+        note = f"map {self.map.version}: group {layout.group} has {layout.parts} parts, by {layout.split}"
         return [LogLine(note), self._map_update(), self._splits_update()]
 
     def _splits_update(self) -> Notify:
-        return Notify(SplitNews(tuple(sorted(self.splits.values(), key=lambda s: s.id)), self.map))
+        return Notify(SplitsUpdate(tuple(sorted(self.splits.values(), key=lambda s: s.id)), self.map))
 
     def _map_update(self) -> Notify:
-        return Notify(MapNews(self.map, tuple(sorted(s.group for s in self.spreading()))))
+        return Notify(MapUpdate(self.map, tuple(sorted(s.group for s in self.spreading()))))
 
     def spreading(self) -> list[Split]:
         """Splits that are in the map and not done: old and new home engines are both allowed."""
-        return [s for s in self.splits.values() if not s.step.over and self.in_map(s)]
+        return [s for s in self.splits.values() if not s.step.is_final and self.in_map(s)]
 
     def in_map(self, split: Split) -> bool:
         """Whether the split is past the point of no return."""
-        shape = self.map.shapes.get(split.group)
-        return shape is not None and shape.split == split.id
+        layout = self.map.layouts.get(split.group)
+        return layout is not None and layout.split == split.id
 
     def allowed(self, group: int, key: bytes | None) -> tuple[str, ...]:
         """Home engines that a request may use: new ones first, then old ones while the map spreads."""
         maps = [self.map]
         for split in self.spreading():
             if split.group == group:
-                maps.insert(0, Map(0, {group: Shape(1, group, split.was, split.id)}))
+                maps.insert(0, Map(0, {group: Layout(1, group, split.parts_before, split.id)}))
         return self.router.allowed(maps, group, key)
 
     # ---- proposals ------------------------------------------------------------------------------------
 
-    def update_owner(self, now: float, facts: Facts) -> None:
+    def update_owner(self, now: float, facts: OwnerState) -> None:
         """Takes the owner's state. Without recent updates no step is taken."""
         self.facts, self.facts_at = facts, now
         self.router.update(facts.engines)
@@ -179,25 +179,25 @@
 
     def is_calm(self, now: float) -> bool:
         """No storm, no outage, and the owner's state is recent."""
-        recent = self.facts is not None and 0 <= now - self.facts_at <= self.rules.fresh
+        recent = self.facts is not None and 0 <= now - self.facts_at <= self.rules.max_state_age
         return recent and bool(self.facts.engines) and not self.facts.storm and not self.facts.outage
 
     def may_plan(self, group: int, now: float) -> bool:
         """Whether a split of this group may be planned: none is open, none was dropped recently."""
         group_splits = [s for s in self.splits.values() if s.group == group]
         backing_off = any(
-            s.step == Step.DROPPED and now - self.step_since[s.id] < self.rules.rest for s in group_splits
+            s.step == Step.DROPPED and now - self.step_since[s.id] < self.rules.backoff for s in group_splits
         )
         proposed = any(
             kind == "split" and (split := read(o.body, Split)) and split.group == group
             for (kind, _), o in self.pending.items()
             if o.epoch == self.authority.coordinating(now)
         )
-        return not backing_off and not proposed and all(s.step.over for s in group_splits)
+        return not backing_off and not proposed and all(s.step.is_final for s in group_splits)
 
     def has_capacity(self) -> bool:
         """Whether the number of open splits is below its limit."""
-        return sum(not s.step.over for s in self.splits.values()) < MAX_OPEN_SPLITS
+        return sum(not s.step.is_final for s in self.splits.values()) < MAX_OPEN_SPLITS
 
     def propose(self, now: float, split: Split) -> list[Effect]:
         """Proposes a new split, or the next step of an open one."""
@@ -210,7 +210,7 @@
             return []
         before = self.pending.get((kind, key))
         if before and before.epoch == epoch:
-            if 0 <= now - before.at < self.rules.again:
+            if 0 <= now - before.at < self.rules.repeat_after:
                 return []
             body = before.body  # a different record might be agreed besides it
         self.pending[kind, key] = PendingProposal(epoch, now, body)
@@ -237,7 +237,7 @@
         for (kind, key), proposal in list(self.pending.items()):
             effects += self.propose_record(now, kind, key, proposal.body)
         cancelled = set(cancelled)
-        for split in sorted(self.splits.values(), key=lambda s: (s.at, s.id)):
+        for split in sorted(self.splits.values(), key=lambda s: (s.window_start, s.id)):
             if ("split", split.id) not in self.pending and ("map", str(split.group)) not in self.pending:
                 effects += self._next(now, hour, split, split.id in cancelled, drop_reason, all_route_by)
         return effects + self._delete_finished(now)
@@ -253,12 +253,12 @@
     ) -> list[Effect]:
         """Proposes the next step of a split, if it is due."""
         waited = now - self.step_since[split.id]
-        if split.step.over:
+        if split.step.is_final:
             return []
         if self.in_map(split):
             if split.step != Step.SWITCHED:
                 return self._step(now, split, Step.SWITCHED)
-            if all_route_by(self.map.shapes[split.group].version) or waited >= self.rules.spread:
+            if all_route_by(self.map.layouts[split.group].version) or waited >= self.rules.spread:
                 return self._step(now, split, Step.DONE)
             return []
         reason = (
@@ -273,7 +273,7 @@
             return []
         if split.step == Step.PROPOSED and waited >= self.rules.notice:
             return self._step(now, split, Step.AGREED)
-        if split.step == Step.AGREED and hour >= split.at and self._may_start(split):
+        if split.step == Step.AGREED and hour >= split.window_start and self._may_start(split):
             return self._step(now, split, Step.WARMING)
         if split.step == Step.WARMING and waited >= self.rules.warm:
             return self._switch(now, split)
@@ -281,26 +281,29 @@
 
     def _missed_window(self, hour: int, split: Split) -> str | None:
         """The reason to drop a split whose window has passed before it was switched."""
-        return "its window is missed" if hour >= split.at + self.rules.window else None
+        return "its window is missed" if hour >= split.window_start + self.rules.window else None
 
     def _may_start(self, split: Split) -> bool:
         """Whether a split may start: one per engine and few at a time, counting those with a pending step."""
         active = [
             s
             for s in self.splits.values()
-            if not s.step.over
+            if not s.step.is_final
             and s.id != split.id
             and (s.step >= Step.WARMING or ("split", s.id) in self.pending and s.step == Step.AGREED)
         ]
         engines = {engine for s in active for engine in s.engines}
-        return len(active) < self.rules.most_at_once and engines.isdisjoint(split.engines)
+        return len(active) < self.rules.max_concurrent and engines.isdisjoint(split.engines)
 
     def _switch(self, now: float, split: Split) -> list[Effect]:
         """Proposes the next version of the map; one at a time, so that no version is used twice."""
-        if any(kind == "map" for kind, _ in self.pending) or self.map.parts(split.group) != split.was:
+        if (
+            any(kind == "map" for kind, _ in self.pending)
+            or self.map.parts(split.group) != split.parts_before
+        ):
             return []
-        shape = Shape(self.map.version + 1, split.group, split.parts, split.id)
-        return self.propose_record(now, "map", str(split.group), pack(shape))
+        layout = Layout(self.map.version + 1, split.group, split.parts, split.id)
+        return self.propose_record(now, "map", str(split.group), pack(layout))
 
     def _step(self, now: float, split: Split, step: Step, reason: str = "") -> list[Effect]:
         return self.propose(now, msgspec.structs.replace(split, step=step, reason=reason))
@@ -308,12 +311,12 @@
     def _delete_finished(self, now: float) -> list[Effect]:
         """Deletes records of splits finished long ago, and the oldest finished ones if there are too many."""
         finished = sorted(
-            (s for s in self.splits.values() if s.step.over), key=lambda s: self.step_since[s.id]
+            (s for s in self.splits.values() if s.step.is_final), key=lambda s: self.step_since[s.id]
         )
         excess = len(self.splits) - MAX_REMEMBERED
         effects: list[Effect] = []
         for at, split in enumerate(finished):
-            if at < excess or now - self.step_since[split.id] >= self.rules.forget:
+            if at < excess or now - self.step_since[split.id] >= self.rules.forget_after:
                 effects += self.propose_record(now, "split", split.id, b"")
         return effects
 
@@ -322,6 +325,7 @@
     """Log line for a step of a split."""
     reason = f": {split.reason}" if split.reason else ""
     return (
-        f"split {split.id} of group {split.group} from {split.was} to {split.parts} parts: "
-        f"{split.step.name.lower()}{reason}; window from hour {split.at}, limit in hour {split.before}"
+        f"split {split.id} of group {split.group} from {split.parts_before} to {split.parts} parts: "
+        f"{split.step.name.lower()}{reason}; "
+        f"window from hour {split.window_start}, limit in hour {split.limit_hour}"
     )
--- a/aspenrill/fleet/groups/telling.py
+++ b/aspenrill/fleet/groups/sync.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellRules:
+class SyncRules:
     """Seconds until a message is resent, and how many may be in flight to one collector."""
 
     resend_after: float = 3.0
@@ -46,7 +46,7 @@
 class CounterSync:
     """Counter replication of one process. `collectors` are the configured names, in any order."""
 
-    def __init__(self, rules: TellRules, collectors: Iterable[str], counts: Counts) -> None:
+    def __init__(self, rules: SyncRules, collectors: Iterable[str], counts: Counts) -> None:
         self.rules, self.counts, self.own_name = rules, counts, counts.own_origin[0]
         self.collectors = tuple(
             sorted(
--- a/aspenrill/fleet/joining.py
+++ b/aspenrill/fleet/joining.py
@@ -15,7 +15,7 @@
 from . import config
 from .broadcast import Broadcast, BroadcastReceived
 from .components import FrontEndNames, build
-from .kept.front import LoadNews
+from .kept.front import LoadUpdate
 from .operator_interface import OperatorInterface
 from .overload.bridge import Bridge
 from .overload.facts import Facts
@@ -62,7 +62,7 @@
         raise ConfigError(why.line()) from None
     operator.start(service)
 
-    def on_load(news: LoadNews) -> None:
+    def on_load(news: LoadUpdate) -> None:
         service.execute(components.purges, components.purges.load(boottime(), news))
         service.dispatch()
 
--- a/aspenrill/fleet/kept/front.py
+++ b/aspenrill/fleet/kept/front.py
@@ -14,14 +14,14 @@
 from ...core.books import Call, Result
 from . import scopes
 from .policy import Policy, Rule
-from .store import NEVER, Key, Stamp, Store
+from .store import NEVER, AnswerStore, Key, Stamp
 
 ENTRY_OVERHEAD = 400  # bytes of a cache entry besides its rows and statement
 MAX_FETCHES = 10_000  # concurrent fetches that are tracked; further requests are not coalesced
 
 
 @dataclass(frozen=True, slots=True)
-class LoadNews:
+class LoadUpdate:
     """For the purges component: a load of these scopes was sent, or has ended or may have."""
 
     scopes: tuple[str, ...]
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Joined:
-    """The request waits for another's fetch; `tired` must be called at time `until`."""
+    """The request waits for another's fetch; `stop_waiting` must be called at time `until`."""
 
     until: float
 
@@ -40,7 +40,7 @@
     """Requests released by the end of a fetch: those with an answer, and those to send themselves."""
 
     served: list[Call] = field(default_factory=list)
-    go_on: list[Call] = field(default_factory=list)
+    to_send: list[Call] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
@@ -56,14 +56,14 @@
     waiters: dict[str, Call] = field(default_factory=dict)
 
 
-class Kept:
+class AnswerCache:
     """The owner's answer cache if `[fleet.purges]` is enabled. `clock` is the owner's source of `now`."""
 
     def __init__(
         self,
-        store: Store,
+        store: AnswerStore,
         policy: Policy,
-        notify: Callable[[LoadNews], None],
+        notify: Callable[[LoadUpdate], None],
         clock: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self.store, self.policy, self.notify, self.clock = store, policy, notify, clock
@@ -83,11 +83,11 @@
             return result
         fetch = self.joinable.get(key)
         if fetch is not None and (fetch.stamp is None or self.store.current(fetch.stamp)):
-            if len(fetch.waiters) >= self.policy.joins:
+            if len(fetch.waiters) >= self.policy.max_joined:
                 return None
             fetch.waiters[call.id] = call
             self.joined[call.id] = fetch
-            return Joined(now + min(self.policy.wait, call.patience / 2))
+            return Joined(now + min(self.policy.max_wait, call.patience / 2))
         groups = scopes.groups_read(call.statement.decode("utf-8", "replace"))
         if groups is not None and len(self.fetches) < MAX_FETCHES:
             fetch_scopes = (scopes.of_class(rule.name), *sorted(map(scopes.of_group, groups)))
@@ -120,18 +120,18 @@
             self.store.put(now, fetch.key, result, size, fetch.stamp, fetch.sent_at + fetch.rule.seconds)
             if self.store.serves(now) and self.store.current(fetch.stamp):
                 released.served = self._release(fetch)
-        released.go_on = self._release(fetch)
+        released.to_send = self._release(fetch)
         return released
 
     def closed(self, call: Call, now: float) -> list[Call]:
         """The request has its final answer or its client is gone; the waiting requests to be sent."""
-        self.tired(call)
+        self.stop_waiting(call)
         if call.id in self.open_loads:
             self._report_load(self.open_loads.pop(call.id), ended=True)
         fetch = self.fetches.get(call.id)
         return self._release(fetch) if fetch is not None else []
 
-    def tired(self, call: Call) -> bool:
+    def stop_waiting(self, call: Call) -> bool:
         """Ends the wait for another's fetch; whether it was waiting and must be sent itself."""
         fetch = self.joined.pop(call.id, None)
         if fetch is None:
@@ -157,7 +157,7 @@
     def _report_load(self, written: tuple[str, ...], ended: bool) -> None:
         for scope in written:
             self.store.purge(scope)
-        self.notify(LoadNews(written, ended))
+        self.notify(LoadUpdate(written, ended))
 
 
 def _written_scopes(call: Call) -> tuple[str, ...]:
--- a/aspenrill/fleet/kept/policy.py
+++ b/aspenrill/fleet/kept/policy.py
@@ -37,15 +37,15 @@
 class Policy:
     """Cache rules by class number.
 
-    `loads` are the numbers of classes that write. Up to `joins` requests may wait for one fetch, each for up
-    to `wait` seconds.
+    `loads` are the numbers of classes that write. Up to `max_joined` requests may wait for one fetch,
+    each for up to `max_wait` seconds.
     """
 
     rules: dict[int, Rule] = field(default_factory=dict)
     loads: frozenset[int] = frozenset()
     bounds: Bounds = Bounds()
-    joins: int = 64
-    wait: float = 1.0
+    max_joined: int = 64
+    max_wait: float = 1.0
 
     def rule(self, cls: int, tenant: int) -> Rule | None:
         """The rule for a request; None if its answer is not cached."""
@@ -78,7 +78,10 @@
         int(row.number("most_mb", 32, 1, 1 << 16) * (1 << 20)),
         int(row.number("most_answer_kb", 256, 1, 1 << 16) * 1024),
     )
-    joins, wait = int(row.number("joins", 64, 0, 10_000)), row.number("wait_ms", 1000, 1, 3_600_000) / 1000
+    max_joined, max_wait = (
+        int(row.number("joins", 64, 0, 10_000)),
+        row.number("wait_ms", 1000, 1, 3_600_000) / 1000,
+    )
     rules: dict[int, Rule] = {}
     listed = []
     for table in row.tables("class"):
@@ -105,7 +108,7 @@
     unique(row, "class", listed)
     row.end()
     loads = frozenset(at for at, cls in enumerate(classes) if cls.is_load)
-    return Policy(rules if enabled else {}, loads, bounds, joins, wait)
+    return Policy(rules if enabled else {}, loads, bounds, max_joined, max_wait)
 
 
 def read_purges(fleet: Reader) -> PurgeSettings:
--- a/aspenrill/fleet/kept/store.py
+++ b/aspenrill/fleet/kept/store.py
@@ -45,7 +45,7 @@
     size: int
 
 
-class Store:
+class AnswerStore:
     """The cached answers.
 
     `purge` and `lease_end` are used by the purges component, all else by the request path.
--- a/aspenrill/fleet/operator_interface.py
+++ b/aspenrill/fleet/operator_interface.py
@@ -19,11 +19,11 @@
 from .components import Components
 from .config import Config
 from .groups import owner_file
-from .groups.splits import SplitNews
+from .groups.splits import SplitsUpdate
 from .overload.part import THREADS
 from .purges.folder import Folder, write_state
 from .purges.origin import Accepted, Complete
-from .purges.report import line
+from .purges.report import log_line
 from .service import RateLimitedLog, Service, boottime
 
 CHECK_INTERVAL = 0.1  # seconds between checks for changes
@@ -72,7 +72,7 @@
             case Complete(origin, incarnation, number):
                 self.hub.log(f"purge {origin}/{incarnation}/{number} complete")
                 self._state_at = 0.0
-            case SplitNews() if self.components.splits_file:
+            case SplitsUpdate() if self.components.splits_file:
                 self._write_logged(lambda: owner_file.write(Path(self.components.splits_file), fact))
 
     # ---- requests of the operator --------------------------------------------------------------------
@@ -86,14 +86,14 @@
             )
         groups = self.components.groups
         for ident in components.cancelled_splits if groups is not None else ():
-            self.service.execute(groups, groups.call_off(boottime(), ident))
+            self.service.execute(groups, groups.cancel_split(boottime(), ident))
         self.start_purges()
 
     def start_purges(self) -> None:
         """Start the purges that are in the folder."""
         purges = self.components.purges
         for order in self.folder.read(self.classes) if self.folder is not None else ():
-            self.service.execute(purges, purges.purge(boottime(), order.scope, order.why, order.tag))
+            self.service.execute(purges, purges.purge(boottime(), order.scope, order.reason, order.tag))
         self.service.dispatch()
         self._state_at = 0.0
 
@@ -136,7 +136,7 @@
             self._write_logged(lambda: write_state(self.components.purge_settings.state, report))
         if report["open"] and now >= self._open_purges_at + OPEN_PURGES_INTERVAL:
             self._open_purges_at = now
-            self.hub.log(line(report))
+            self.hub.log(log_line(report))
 
     def _write_logged(self, write: Any) -> None:
         try:
--- a/aspenrill/fleet/purges/flows.py
+++ b/aspenrill/fleet/purges/flows.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..interface import Place, View
-from ..kept.store import Store
+from ..kept.store import AnswerStore
 from .spread import Flow, Relay
 from .tree import Tree
 from .wire import BUILDING, MEMBER, ROOT, SITE, Message, Spread, SpreadAck
@@ -16,7 +16,9 @@
 class Flows:
     """Handles purge messages. `send` sends a message to a process, which may be this one."""
 
-    def __init__(self, view: View, tree: Tree, store: Store, send: Callable[[str, Message], None]) -> None:
+    def __init__(
+        self, view: View, tree: Tree, store: AnswerStore, send: Callable[[str, Message], None]
+    ) -> None:
         self.view, self.tree, self.store, self.send = view, tree, store, send
         self.relay = Relay()
 
--- a/aspenrill/fleet/purges/leases.py
+++ b/aspenrill/fleet/purges/leases.py
@@ -27,7 +27,7 @@
 MAX_HOLDERS = 2400  # over twice the peers: an old incarnation stays until its lease has expired
 
 
-def longest(lease: float) -> float:
+def grantor_duration(lease: float) -> float:
     """Seconds until a lease granted by a coordinator has expired by any process's clock."""
     return lease * (1 + MAX_CLOCK_DRIFT) + MARGIN
 
@@ -105,7 +105,7 @@
     ) -> float:
         """Grants a lease; its seconds, 0 for none. `root_lease`: length of the coordinator's leases."""
         if root_lease is not None:
-            seconds, until = root_lease, now + longest(root_lease)
+            seconds, until = root_lease, now + grantor_duration(root_lease)
         else:
             seconds, until = (self.lease_end - now) / (1 + MAX_CLOCK_DRIFT), self.lease_end
         if seconds < MIN_LEASE:
--- a/aspenrill/fleet/purges/orders.py
+++ b/aspenrill/fleet/purges/orders.py
@@ -26,7 +26,7 @@
     """A requested purge. `tag` is a hash of the file's name and content: the same file is the same purge."""
 
     scope: str
-    why: str
+    reason: str
     tag: str
 
 
--- a/aspenrill/fleet/purges/origin.py
+++ b/aspenrill/fleet/purges/origin.py
@@ -15,7 +15,7 @@
 from ..kept.scopes import ALL
 from . import wire
 from .spread import START, Position
-from .wire import Item, Saved, SpreadAck, Told
+from .wire import Item, Saved, SpreadAck, Status
 
 PURGE_PREFIX = "purge/"  # key prefix of stored purges
 LOAD_PREFIX = "load/"  # key prefix of stored open loads
@@ -62,13 +62,13 @@
     item: Item
     reason: str
     tag: str
-    began: float
+    began_at: float
     # by site: when all its members had acknowledged
     acknowledged: dict[str, float] = field(default_factory=dict)
-    everywhere: float | None = None
+    acknowledged_at: float | None = None
     serial: int = 0
     agreed_at: float | None = None
-    complete: float | None = None
+    completed_at: float | None = None
     durable: bool = True
 
     @property
@@ -83,7 +83,7 @@
     def __init__(self, name: str, incarnation: int) -> None:
         self.name, self.incarnation = name, incarnation
         self.number = 0
-        self.out: dict[Position, Purge] = {}  # incomplete purges, in order
+        self.incomplete: dict[Position, Purge] = {}  # incomplete purges, in order
         self.completed: deque[Purge] = deque(maxlen=HISTORY)
         self.sites: dict[str, SiteProgress] = {}
         self.open_loads: dict[str, int] = {}  # number of open loads by scope
@@ -118,10 +118,10 @@
                     scopes.append(ALL)
                     continue
                 item = (saved.incarnation, saved.number, saved.scope)
-                self.out[item[:2]] = Purge(item, saved.reason, saved.tag, now)
+                self.incomplete[item[:2]] = Purge(item, saved.reason, saved.tag, now)
                 if saved.incarnation == self.incarnation:
                     self.number = max(self.number, saved.number)
-        self.out = dict(sorted(self.out.items()))
+        self.incomplete = dict(sorted(self.incomplete.items()))
         return effects, scopes
 
     def accept(self, now: float, scope: str, reason: str, tag: str = "") -> tuple[Purge | None, list[Effect]]:
@@ -129,16 +129,16 @@
 
         If the incomplete purges no longer fit into a message, one purge of everything replaces them all.
         """
-        if tag and any(purge.tag == tag for purge in self.out.values()):
+        if tag and any(purge.tag == tag for purge in self.incomplete.values()):
             return None, [Notify(Accepted(tag))]
         replaced: list[Purge] = []
         if sum(map(wire.size, self.items)) + wire.size((0, 0, scope)) > wire.MAX_LIST_BYTES:
-            scope, replaced = ALL, list(self.out.values())
+            scope, replaced = ALL, list(self.incomplete.values())
             reason = f"{reason}; stands for {len(replaced)} before it that are not complete"[:200]
-            self.out.clear()
+            self.incomplete.clear()
         self.number += 1
         purge = Purge((self.incarnation, self.number, scope), reason, tag, now)
-        self.out[purge.position] = purge
+        self.incomplete[purge.position] = purge
         self.next_request_at, self.request_interval = now, FIRST_REPEAT
         for site in self.sites.values():
             site.next_send_at, site.interval = now, FIRST_REPEAT
@@ -171,7 +171,7 @@
 
         The purges continue meanwhile.
         """
-        for purge in self.out.values():
+        for purge in self.incomplete.values():
             purge.durable = False
 
     # ---- repetition -----------------------------------------------------------------------------------
@@ -182,7 +182,7 @@
         last = self.last
         found = []
         for name, site in self.sites.items():
-            if self.out and site.position < last and site.next_send_at <= now:
+            if self.incomplete and site.position < last and site.next_send_at <= now:
                 site.next_send_at = now + site.interval
                 site.interval = min(MAX_REPEAT, site.interval * 1.5)
                 site.tries += 1
@@ -191,11 +191,11 @@
 
     def due_requests(self, now: float) -> list[Item]:
         """The purges that are due to be requested from the coordinator."""
-        if not self.out or self.next_request_at > now:
+        if not self.incomplete or self.next_request_at > now:
             return []
         self.next_request_at = now + self.request_interval
         self.request_interval = min(MAX_REPEAT, self.request_interval * 1.5)
-        return [purge.item for purge in self.out.values()]
+        return [purge.item for purge in self.incomplete.values()]
 
     def resend_now(self, now: float) -> None:
         """Makes all messages due at once, after a change of coordinator or relays."""
@@ -206,7 +206,7 @@
     def retry_stores(self) -> list[Effect]:
         """Stores records again that could not be written."""
         found: list[Effect] = []
-        for purge in self.out.values():
+        for purge in self.incomplete.values():
             if not purge.durable:
                 purge.durable = True
                 found += [_store(purge)] + ([Notify(Accepted(purge.tag))] if purge.tag else [])
@@ -215,12 +215,12 @@
     @property
     def last(self) -> Position:
         """The position of the latest incomplete purge."""
-        return next(reversed(self.out)) if self.out else START
+        return next(reversed(self.incomplete)) if self.incomplete else START
 
     @property
     def items(self) -> list[Item]:
         """All incomplete purges, oldest first; they fit into a message."""
-        return [purge.item for purge in self.out.values()]
+        return [purge.item for purge in self.incomplete.values()]
 
     # ---- answers --------------------------------------------------------------------------------------
 
@@ -232,24 +232,24 @@
         site.tries = 0
         site.position, site.total, site.done = ack.position, ack.total, ack.done
         site.missing = ack.missing
-        for purge in self.out.values():
+        for purge in self.incomplete.values():
             if purge.position <= site.position:
                 purge.acknowledged.setdefault(name, now)
-                if purge.everywhere is None and all(s in purge.acknowledged for s in self.sites):
-                    purge.everywhere = now
+                if purge.acknowledged_at is None and all(s in purge.acknowledged for s in self.sites):
+                    purge.acknowledged_at = now
 
-    def on_status(self, now: float, status: Told) -> list[Effect]:
+    def on_status(self, now: float, status: Status) -> list[Effect]:
         """Takes the coordinator's report of agreed and complete purges."""
         effects: list[Effect] = []
         for incarnation, number, serial, complete in status.items:
-            purge = self.out.get((incarnation, number))
+            purge = self.incomplete.get((incarnation, number))
             if purge is None:
                 continue
             if purge.agreed_at is None:
                 purge.agreed_at, purge.serial = now, serial
             if complete:
-                purge.complete = now
-                del self.out[purge.position]
+                purge.completed_at = now
+                del self.incomplete[purge.position]
                 self.completed.append(purge)
                 effects += [
                     Store(_key(purge.position), None),
--- a/aspenrill/fleet/purges/part.py
+++ b/aspenrill/fleet/purges/part.py
@@ -11,16 +11,16 @@
 from collections.abc import Mapping
 
 from ..interface import Agreed, Authority, Effect, Entry, LogLine, Member, Post, Put, View
-from ..kept.front import LoadNews
+from ..kept.front import LoadUpdate
 from ..kept.scopes import ALL, valid
-from ..kept.store import NEVER, Store
+from ..kept.store import NEVER, AnswerStore
 from . import leases, wire
 from .flows import Flows
 from .origin import Origin, Purge
 from .report import report
 from .root import Coordinator
 from .tree import Tree
-from .wire import BUILDING, MEMBER, ROOT, SITE, Grant, LeaseRequest, Spread, SpreadAck, Told, Want
+from .wire import BUILDING, MEMBER, ROOT, SITE, Grant, LeaseRequest, Propose, Spread, SpreadAck, Status
 
 REQUEST_RETRY = 0.3  # seconds until a lease request is repeated
 PUSH_INTERVAL = 0.4  # seconds until purges are first repeated to a holder that has not acknowledged them
@@ -30,7 +30,7 @@
 
 
 class Purges:
-    """A Follower of records of kind `purge`. `keeps`: this process caches answers and needs leases."""
+    """A Follower of records of kind `purge`. `caching`: this process caches answers and needs leases."""
 
     name = "purges"
     topics = ("purges",)
@@ -38,9 +38,15 @@
     period = 0.1
 
     def __init__(
-        self, rng: random.Random, store: Store, authority: Authority, lease: float = 6.0, keeps: bool = True
+        self,
+        rng: random.Random,
+        store: AnswerStore,
+        authority: Authority,
+        lease: float = 6.0,
+        caching: bool = True,
     ) -> None:
-        self.rng, self.store, self.authority, self.lease, self.keeps = rng, store, authority, lease, keeps
+        self.rng, self.store, self.authority = rng, store, authority
+        self.lease, self.caching = lease, caching
         self.seen = 0  # serial up to which all agreed purges are applied here
         self.recent: deque[str] = deque(maxlen=MAX_RECENT)  # scopes of the last serials up to `seen`
         self.lease_nodes = self.make_lease_nodes()
@@ -131,7 +137,7 @@
     def on_leave(self, now: float) -> list[Effect]:
         """Returns its leases before the process ends."""
         self._begin_call()
-        self.keeps, self.store.lease_end = False, NEVER
+        self.caching, self.store.lease_end = False, NEVER
         for node in self.lease_nodes[:ROOT]:
             node.drop_expired(now)
             if not node.holders:
@@ -149,7 +155,7 @@
         self._send_out(now)
         return self._finish_call(now)
 
-    def load(self, now: float, update: LoadNews) -> list[Effect]:
+    def load(self, now: float, update: LoadUpdate) -> list[Effect]:
         """Purges the scopes of a load that was sent, or that has ended or may have."""
         self._begin_call()
         for scope in update.scopes:
@@ -182,7 +188,7 @@
                 self._send(relay, Spread(SITE, self.view.name, items))
         requests, coordinator = self.origin.due_requests(now), self._coordinator_name(now)
         if requests and coordinator is not None:
-            self._send(coordinator, Want(requests))
+            self._send(coordinator, Propose(requests))
 
     # ---- messages -------------------------------------------------------------------------------------
 
@@ -215,10 +221,10 @@
             case SpreadAck():
                 if self.flows.on_ack(sender, message):
                     self.origin.on_ack(now, self.view.members()[sender].place.site, message)
-            case Want():
+            case Propose():
                 if self._is_coordinator(now):
                     self._send_status(sender, self.coordinator.on_request(sender, message.purges))
-            case Told():
+            case Status():
                 self.effects += self.origin.on_status(now, message)
 
     # ---- serials and leases ---------------------------------------------------------------------------
@@ -271,7 +277,7 @@
         return found[::-1]
 
     def _needs_lease(self, now: float, node: leases.LeaseNode) -> bool:
-        return self.keeps if node.level == MEMBER else now < node.last_requested_at + self.lease
+        return self.caching if node.level == MEMBER else now < node.last_requested_at + self.lease
 
     def _parent(self, now: float, node: leases.LeaseNode) -> str | None:
         place = self.view.place
@@ -335,7 +341,7 @@
             self.advance(now, grant.serial, grant.recent)
         if node.on_grant(now, sender, grant.seq, grant.seconds):
             node.next_request_at = now + self.lease / 6 * self.rng.uniform(0.8, 1.0)
-            if node.level == MEMBER and self.keeps:
+            if node.level == MEMBER and self.caching:
                 self.store.lease_end = node.lease_end
 
     # ---- the coordinator ------------------------------------------------------------------------------
@@ -384,6 +390,6 @@
         for origin, status in self.coordinator.on_cleared(cleared).items():
             self._send_status(origin, status)
 
-    def _send_status(self, origin: str, status: Told) -> None:
+    def _send_status(self, origin: str, status: Status) -> None:
         for at in range(0, len(status.items), wire.MAX_STATUS_ITEMS):
-            self._send(origin, Told(status.items[at : at + wire.MAX_STATUS_ITEMS]))
+            self._send(origin, Status(status.items[at : at + wire.MAX_STATUS_ITEMS]))
--- a/aspenrill/fleet/purges/report.py
+++ b/aspenrill/fleet/purges/report.py
@@ -32,7 +32,7 @@
         },
         "serial": part.seen,
         "coordinating": coordinating,
-        "open": [_purge(part, purge) for purge in list(origin.out.values())[:MAX_PURGES]],
+        "open": [_purge(part, purge) for purge in list(origin.incomplete.values())[:MAX_PURGES]],
         "complete": [_purge(part, purge) for purge in origin.completed],
     }
     if coordinating:
@@ -48,9 +48,9 @@
 
 def _purge(part: Purges, purge: Purge) -> dict[str, Any]:
     def since(when: float | None) -> float | None:
-        return round(when - purge.began, 3) if when is not None else None
+        return round(when - purge.began_at, 3) if when is not None else None
 
-    incomplete = purge.complete is None
+    incomplete = purge.completed_at is None
     waits = {}
     for name, site in list(part.origin.sites.items())[:MAX_SITES] if incomplete else ():
         if name not in purge.acknowledged:
@@ -62,8 +62,8 @@
         "state": state(purge),
         "on_disk": purge.durable,
         "agreed_s": since(purge.agreed_at),
-        "acknowledged_s": since(purge.everywhere),
-        "complete_s": since(purge.complete),
+        "acknowledged_s": since(purge.acknowledged_at),
+        "complete_s": since(purge.completed_at),
         "sites": {name: since(when) for name, when in list(purge.acknowledged.items())[:MAX_SITES]},
         "waits": waits,
     }
@@ -71,14 +71,14 @@
 
 def state(purge: Purge) -> str:
     """The latest state that a purge has reached."""
-    if purge.complete is not None:
+    if purge.completed_at is not None:
         return "complete"
     if purge.agreed_at is not None:
         return "agreed, not complete"
-    return "acknowledged, not complete" if purge.everywhere is not None else "accepted, not complete"
+    return "acknowledged, not complete" if purge.acknowledged_at is not None else "accepted, not complete"
 
 
-def line(found: dict[str, Any]) -> str:
+def log_line(found: dict[str, Any]) -> str:
     """Log line on incomplete purges."""
     if not found["open"]:
         return f"purges: none open, {len(found['complete'])} complete"
--- a/aspenrill/fleet/purges/root.py
+++ b/aspenrill/fleet/purges/root.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from .wire import Item, Told
+from .wire import Item, Status
 
 AGREEMENT_TIMEOUT = 3.0  # seconds until a record that is not agreed is proposed again
 MAX_IN_FLIGHT = 64  # records that are proposed and not agreed
@@ -51,7 +51,7 @@
             self._reset()
             self.serial = seen
 
-    def on_request(self, origin: str, purges: list[Item]) -> Told:
+    def on_request(self, origin: str, purges: list[Item]) -> Status:
         """An origin requests agreement on purges; the status of those that are agreed."""
         items = []
         for incarnation, number, scope in purges:
@@ -64,7 +64,7 @@
                 self.queued.setdefault(scope, []).append(purge_id)
             elif state.agreed:
                 items.append((incarnation, number, state.serial, state.complete))
-        return Told(items)
+        return Status(items)
 
     def _evict_complete(self) -> bool:
         """Removes the oldest complete purge; whether there was one."""
@@ -89,7 +89,7 @@
             found.append((scope, self.serial))
         return found
 
-    def on_agreed(self, scope: str, serial: int) -> dict[str, Told]:
+    def on_agreed(self, scope: str, serial: int) -> dict[str, Status]:
         """A record is agreed; the messages to its origins.
 
         A record that is not in flight here is of an earlier coordinator or was given up, and may use a serial
@@ -108,7 +108,7 @@
             state.serial, state.agreed = serial, True
         return self._statuses(purge_ids)
 
-    def on_cleared(self, serial: int) -> dict[str, Told]:
+    def on_cleared(self, serial: int) -> dict[str, Status]:
         """No process serves answers older than this serial; the messages to the origins of its purges."""
         completed = [
             purge_id for at in [at for at in self.agreed if at <= serial] for purge_id in self.agreed.pop(at)
@@ -117,11 +117,11 @@
             self.known[purge_id].complete = True
         return self._statuses(completed)
 
-    def _statuses(self, purge_ids: list[PurgeId]) -> dict[str, Told]:
-        found: dict[str, Told] = {}
+    def _statuses(self, purge_ids: list[PurgeId]) -> dict[str, Status]:
+        found: dict[str, Status] = {}
         for purge_id in purge_ids:
             state = self.known.get(purge_id)
             if state is not None:
-                status = found.setdefault(purge_id[0], Told([]))
+                status = found.setdefault(purge_id[0], Status([]))
                 status.items.append((*purge_id[1:], state.serial, state.complete))
         return found
--- a/aspenrill/fleet/purges/wire.py
+++ b/aspenrill/fleet/purges/wire.py
@@ -79,13 +79,13 @@
     missing: Names
 
 
-class Want(msgspec.Struct, array_like=True, tag="w", frozen=True):
+class Propose(msgspec.Struct, array_like=True, tag="w", frozen=True):
     """An origin's purges, for which the coordinator is to obtain agreement."""
 
     purges: Annotated[list[Item], Meta(min_length=1, max_length=1024)]
 
 
-class Told(msgspec.Struct, array_like=True, tag="t", frozen=True):
+class Status(msgspec.Struct, array_like=True, tag="t", frozen=True):
     """Status of purges for their origin: incarnation, number, agreed serial, whether complete."""
 
     items: Annotated[list[tuple[NonNegative, Positive, Positive, bool]], Meta(max_length=1024)]
@@ -107,7 +107,7 @@
     tag: str
 
 
-Message = LeaseRequest | Grant | Spread | SpreadAck | Want | Told
+Message = LeaseRequest | Grant | Spread | SpreadAck | Propose | Status
 encode = msgspec.msgpack.Encoder().encode
 _messages = msgspec.msgpack.Decoder(Message)
 _records = msgspec.msgpack.Decoder(Record)
--- a/aspenrill/fleet/request_feed.py
+++ b/aspenrill/fleet/request_feed.py
@@ -14,7 +14,7 @@
 from ..core.owner import Owner
 from ..policy.figures import THREADS_A_CORE
 from .components import Components
-from .groups.splits import Facts as GroupFacts
+from .groups.splits import OwnerState as GroupOwnerState
 from .overload.bridge import Bridge
 
 FLUSH_INTERVAL = 0.5  # seconds
@@ -77,9 +77,9 @@
         self._probed.clear()
         self._ejected = ejected
         if self.components.groups is not None:
-            self.components.groups.tell(
+            self.components.groups.update_owner(
                 now,
-                GroupFacts(
+                GroupOwnerState(
                     gateway.rung > 0,
                     len(ejected) > OUTAGE_THRESHOLD * len(gateway.live),
                     tuple(sorted(e.entry.engine for e in gateway.live)),
--- a/benchmarks/fleet_authority.py
+++ b/benchmarks/fleet_authority.py
@@ -15,7 +15,7 @@
 import statistics
 from collections import Counter
 
-from aspenrill.fleet.authority import AuthorityPart, Rules
+from aspenrill.fleet.authority import AuthorityComponent, Rules
 from aspenrill.fleet.interface import Agreed, Notify, Post, Put
 from standins.cluster import LOOK, Cluster
 from standins.faults import Link
@@ -38,7 +38,7 @@
         self.messages_sent: Counter[str] = Counter()
         self.notified_at: dict[int, list[float]] = {}
         link = Link(loss=loss, delay_ms=1, jitter_ms=20)
-        super().__init__(seed, names, lambda name, rng: [AuthorityPart(rules, rng)], link=link)
+        super().__init__(seed, names, lambda name, rng: [AuthorityComponent(rules, rng)], link=link)
         self.voters = rules.voters
         self.members = {proc.name: proc.member() for proc in self.procs.values()}
 
@@ -46,7 +46,7 @@
         self._at(LOOK * self._rng.uniform(0.8, 1.2), proc.name, self._look, proc)
         if len(proc.known) < len(self.members):
             proc.known |= {name: member for name, member in self.members.items() if name != proc.name}
-            proc.parts[0].follow.regroup()
+            proc.parts[0].follower.on_members_changed()
         other = self.procs[self._rng.choice(self.names)]
         if other.up and self.net.fate(self.now, other.name, proc.name, 100):
             for entry in list(other.told.get("authority", {}).values()):
--- a/benchmarks/fleet_forecast.py
+++ b/benchmarks/fleet_forecast.py
@@ -187,7 +187,7 @@
         total += value
         if reached is None and total >= limit:
             reached = at
-    schedule = ScheduleRules(limit, looks=2)
+    schedule = ScheduleRules(limit, cancel_checks=2)
     scheduler, split, planned = Scheduler(schedule), None, 0
     for end in range(7 * DAY, len(hours), 12):
         series = known_series(name, hours, missing, end, rng)
@@ -196,16 +196,16 @@
         outlook = Outlook(
             1, FIRST_HOUR + end - 1, sum(known_values) * len(series) / len(known_values), growth, None
         )
-        scheduler.look(outlook, {split.id: split} if split else {})
-        if split is not None and scheduler.wanted(split):
+        scheduler.update_outlook(outlook, {split.id: split} if split else {})
+        if split is not None and scheduler.drop_reason(split):
             split = None
         if split is None:
             plan = scheduler.plan(1, 1, FIRST_HOUR + end)
             if plan:
                 planned += 1
-                split = Split(f"s{end}", 1, 1, 2, Step.PROPOSED, plan.at, plan.before)
-        if split is not None and split.at < FIRST_HOUR + end + 12:
-            done = split.at - FIRST_HOUR + schedule.window
+                split = Split(f"s{end}", 1, 1, 2, Step.PROPOSED, plan.window_start, plan.limit_hour)
+        if split is not None and split.window_start < FIRST_HOUR + end + 12:
+            done = split.window_start - FIRST_HOUR + schedule.window
             needed = reached is not None and reached - done <= 1.5 * schedule.lead
             return {
                 "planned": planned,
--- a/benchmarks/fleet_purges.py
+++ b/benchmarks/fleet_purges.py
@@ -29,7 +29,7 @@
 PURGES_PER_RUN = 5
 LOSSY_LINK = Link(loss=0.1, delay_ms=1, jitter_ms=19)
 SLOW_LINK = Link(delay_ms=300, jitter_ms=20)
-SPREAD_MESSAGES = (wire.Spread, wire.Want)  # the messages whose bytes are counted
+SPREAD_MESSAGES = (wire.Spread, wire.Propose)  # the messages whose bytes are counted
 
 
 class PurgeRun:
@@ -115,14 +115,14 @@
             self.bytes_sent, started = 0, self.world.now
             purge(self.world, self.origin, f"g{index % 4}")
             origin = self.world.procs[self.origin].part("purges").origin
-            purge_state = origin.out[origin.last]
-            done = self.world.until(lambda: purge_state.complete is not None, 30.0)  # noqa: B023
+            purge_state = origin.incomplete[origin.last]
+            done = self.world.until(lambda: purge_state.completed_at is not None, 30.0)  # noqa: B023
             rows.append(
                 {
                     "complete": self.world.now - started if done else float("inf"),
                     "bytes": self.bytes_sent,
-                    "acknowledged": (purge_state.everywhere - purge_state.began)
-                    if purge_state.everywhere
+                    "acknowledged": (purge_state.acknowledged_at - purge_state.began_at)
+                    if purge_state.acknowledged_at
                     else float("inf"),
                 }
             )
--- a/standins/groups.py
+++ b/standins/groups.py
@@ -8,11 +8,11 @@
 
 from aspenrill.fleet.groups.hours import CountRules
 from aspenrill.fleet.groups.part import GroupRules, Groups
-from aspenrill.fleet.groups.records import Shape, Split, Step, read
-from aspenrill.fleet.groups.route import order, part_of
+from aspenrill.fleet.groups.records import Layout, Split, Step, read
+from aspenrill.fleet.groups.route import engine_order, part_for_key
 from aspenrill.fleet.groups.schedule import ScheduleRules
-from aspenrill.fleet.groups.splits import Facts, MapNews, SplitRules, WarmNews
-from aspenrill.fleet.groups.telling import TellRules
+from aspenrill.fleet.groups.splits import MapUpdate, OwnerState, SplitRules, WarmUp
+from aspenrill.fleet.groups.sync import SyncRules
 from aspenrill.fleet.interface import Agreed, Notify
 from standins.cluster import Cluster
 from standins.faults import CALM
@@ -34,9 +34,9 @@
         self.pending_records: list[tuple[float, str, str, bytes]] = []
         self.splits: dict[str, Split] = {}
         self.states: set[tuple] = set()  # every record that was ever agreed
-        self.shapes: dict[int, Shape] = {}
+        self.layouts: dict[int, Layout] = {}
         self.version = 0
-        self.maps: dict[int, dict[int, Shape]] = {0: {}}
+        self.maps: dict[int, dict[int, Layout]] = {0: {}}
         self.kill: tuple[str, int] | None = None  # kill the coordinator at the n-th "propose" or "append"
         self.done = {"propose": 0, "append": 0}
 
@@ -51,19 +51,21 @@
         """Append an agreed record and check the invariants of the log."""
         self.log.append(Agreed(len(self.log) + 1, self.epoch, kind, key, body))
         if kind == "map":
-            shape = read(body, Shape)
-            if self.shapes.get(shape.group) != shape:
-                assert shape.version == self.version + 1, "the same map version was used twice"
-                split, old = self.splits[shape.split], self.shapes.get(shape.group)
+            layout = read(body, Layout)
+            if self.layouts.get(layout.group) != layout:
+                assert layout.version == self.version + 1, "the same map version was used twice"
+                split, old = self.splits[layout.split], self.layouts.get(layout.group)
                 assert split.step == Step.WARMING, f"{split.id} entered the map in step {split.step.name}"
-                assert split.was == (old.parts if old else 1) and shape.parts == split.parts, "split twice"
-                self.version, self.shapes = shape.version, {**self.shapes, shape.group: shape}
-                self.maps[shape.version] = self.shapes
-            self.states.add(("map", shape))
+                assert split.parts_before == (old.parts if old else 1) and layout.parts == split.parts, (
+                    "split twice"
+                )
+                self.version, self.layouts = layout.version, {**self.layouts, layout.group: layout}
+                self.maps[layout.version] = self.layouts
+            self.states.add(("map", layout))
         elif kind == "split" and body:
             split, old = read(body, Split), self.splits.get(key)
             step = old.step if old else 0
-            switched = any(s.split == key for s in self.shapes.values())
+            switched = any(s.split == key for s in self.layouts.values())
             legal = (
                 step == split.step
                 or split.step == step + 1
@@ -161,7 +163,7 @@
     def on_tick(self, now):
         """Report facts, count writes, send requests and end those that are due."""
         scene, groups, at = self.scene, self.groups, self.scene.world.now
-        groups.tell(now, Facts(scene.storm, scene.outage, ENGINES))
+        groups.update_owner(now, OwnerState(scene.storm, scene.outage, ENGINES))
         for group in scene.groups:
             size = self.rng.randrange(1, 100)
             groups.count(group, 1, size, 10)
@@ -177,11 +179,11 @@
         """Send one attempt and check that its engine follows the map version that the process has."""
         map_ = self.groups.splits.map
         home = self.groups.splits.allowed(group, key)[0]
-        shape = self.scene.ledger.maps[map_.version].get(group)
-        part = part_of(group, key, shape.parts if shape else 1)
-        current = {s.group: s.version for s in map_.shapes.values()}
-        if current.get(group, 0) == (shape.version if shape else 0):  # else a newer map is not complete yet
-            assert home == order(group, part, ENGINES)[0], (
+        layout = self.scene.ledger.maps[map_.version].get(group)
+        part = part_for_key(group, key, layout.parts if layout else 1)
+        current = {s.group: s.version for s in map_.layouts.values()}
+        if current.get(group, 0) == (layout.version if layout else 0):  # else a newer map is not complete yet
+            assert home == engine_order(group, part, ENGINES)[0], (
                 "a request was not routed by the map version it was sent with"
             )
         attempt_id = len(self.scene.attempts)
@@ -205,13 +207,20 @@
         self.rules = GroupRules(
             tuple(self.voters),
             ScheduleRules(1e9, notice=1, window=3),
-            tell=2.0,
-            store=4.0,
+            send_interval=2.0,
+            store_interval=4.0,
             sizes={g: s * 1e9 for g, s in self.groups.items()},
-            telling=TellRules(1.0, 8),
+            sync=SyncRules(1.0, 8),
             counts=CountRules(),
             splits=SplitRules(
-                notice=1.0, warm=2.0, spread=4.0, window=3, rest=20.0, forget=3600.0, again=2.0, fresh=3.0
+                notice=1.0,
+                warm=2.0,
+                spread=4.0,
+                window=3,
+                backoff=20.0,
+                forget_after=3600.0,
+                repeat_after=2.0,
+                max_state_age=3.0,
             ),
             **more,
         )
@@ -256,12 +265,12 @@
         splits = proc.part("groups").splits
         for split in splits.splits.values():
             assert ("split", split) in self.ledger.states, f"{proc.name}: {split.id} is not agreed"
-        for shape in splits.map.shapes.values():
-            assert ("map", shape) in self.ledger.states, f"{proc.name}: map of {shape.group} is not agreed"
+        for layout in splits.map.layouts.values():
+            assert ("map", layout) in self.ledger.states, f"{proc.name}: map of {layout.group} is not agreed"
         for _, _, fact in facts:
-            if isinstance(fact, MapNews):
+            if isinstance(fact, MapUpdate):
                 assert fact.map.version in self.ledger.maps, "unknown map version"
-            if isinstance(fact, WarmNews):
+            if isinstance(fact, WarmUp):
                 warm = proc.name, proc.life, fact.split.id
                 assert warm not in self.warmed_splits, f"{proc.name}: {fact.split.id} warmed twice"
                 self.warmed_splits.add(warm)
@@ -278,9 +287,9 @@
         self.storm = self.outage = False
         self.world.until(
             lambda: (
-                all(s.step.over for s in self.ledger.splits.values())
+                all(s.step.is_final for s in self.ledger.splits.values())
                 and len({g.splits.map.version for g in self.all()}) == 1
-                and sum(s.parts for s in self.ledger.shapes.values()) == 8
+                and sum(s.parts for s in self.ledger.layouts.values()) == 8
             ),
             within,
         )
@@ -288,10 +297,10 @@
 
     def check_end_state(self) -> None:
         """Check the end state: each due split was done once, and all processes have the same map."""
-        maps = {tuple(sorted(g.splits.map.shapes.items())) for g in self.all()}
-        parts = {g: s.parts for g, s in self.ledger.shapes.items()}
+        maps = {tuple(sorted(g.splits.map.layouts.items())) for g in self.all()}
+        parts = {g: s.parts for g, s in self.ledger.layouts.items()}
         assert len(maps) == 1 and parts == {17: 2, 18: 2, 19: 4}, parts
-        assert all(s.step.over for s in self.ledger.splits.values())
+        assert all(s.step.is_final for s in self.ledger.splits.values())
         assert max(self.end_counts.values()) == 1, "an attempt ended twice"
         still_open = {
             attempt_id for proc in self.world.running for _, attempt_id in proc.part("owner").in_flight
--- a/standins/purging.py
+++ b/standins/purging.py
@@ -16,12 +16,12 @@
 from aspenrill.core.books import Call, Result
 from aspenrill.fleet.interface import Agreed, Effect, Notify, Place, Post, View
 from aspenrill.fleet.interface import Store as Saves
-from aspenrill.fleet.kept.front import Joined, Kept
+from aspenrill.fleet.kept.front import AnswerCache, Joined
 from aspenrill.fleet.kept.policy import Policy, Rule
 from aspenrill.fleet.kept.scopes import ALL, of_group
-from aspenrill.fleet.kept.store import Store
+from aspenrill.fleet.kept.store import AnswerStore
 from aspenrill.fleet.purges import wire
-from aspenrill.fleet.purges.leases import longest
+from aspenrill.fleet.purges.leases import grantor_duration
 from aspenrill.fleet.purges.origin import Complete
 from aspenrill.fleet.purges.part import Purges
 
@@ -41,7 +41,7 @@
 class AuthorityState:
     """The state of the fake authority, shared by all processes; the voters are the first few processes."""
 
-    def __init__(self, voters: Sequence[str], waits: float = longest(LEASE)) -> None:
+    def __init__(self, voters: Sequence[str], waits: float = grantor_duration(LEASE)) -> None:
         self.voters, self.waits = voters, waits
         self.world: Cluster | None = None
         self.holder: tuple[str, int] | None = None
@@ -164,7 +164,7 @@
                 self.began_at.setdefault(purge_id, now)
         elif isinstance(what, Post) and part.name == "purges":
             reported = wire.decode(what.body)
-            if isinstance(reported, wire.Told):
+            if isinstance(reported, wire.Status):
                 for incarnation, number, _, complete in reported.items:
                     if complete:
                         self.on_complete(now, (what.to, incarnation, number))
@@ -229,10 +229,10 @@
         rng: random.Random,
         rate: float,
         loads: float,
-        front: type[Kept] = Kept,
+        front: type[AnswerCache] = AnswerCache,
     ) -> None:
         self.truth, self.purges, self.rng, self.rate, self.loads = truth, purges, rng, rate, loads
-        policy = Policy({LOOKUP: Rule("lookup", 30.0)}, frozenset({LOAD}), joins=4, wait=1.0)
+        policy = Policy({LOOKUP: Rule("lookup", 30.0)}, frozenset({LOAD}), max_joined=4, max_wait=1.0)
         self.load_events: list = []
         self.kept = front(purges.store, policy, self.load_events.append)
         # end time, time of the read or write, group, request
@@ -297,7 +297,7 @@
             for waiter in freed.served:
                 self.truth.serve(self.proc.name, group, value)
                 waiter.open = False
-            for waiter in freed.go_on:
+            for waiter in freed.to_send:
                 self.send(now, group, waiter)
             if call.cls == LOAD:
                 self.truth.ended_loads.append(
@@ -322,9 +322,9 @@
     link: Link = DEFAULT_LINK,
     garbage: float = 0.0,
     part: type[Purges] = Purges,
-    store: type[Store] = Store,
-    front: type[Kept] = Kept,
-    waits: float = longest(LEASE),
+    store: type[AnswerStore] = AnswerStore,
+    front: type[AnswerCache] = AnswerCache,
+    waits: float = grantor_duration(LEASE),
 ) -> tuple[Cluster, Truth]:
     """Build a fleet of caching processes with its checker. The classes may be subclasses with planted
     defects."""
--- a/tests/authority_defects.py
+++ b/tests/authority_defects.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from aspenrill.fleet.authority import AuthorityPart
+from aspenrill.fleet.authority import AuthorityComponent
 from aspenrill.fleet.authority import election as election_module
 from aspenrill.fleet.authority import part as part_module
 from aspenrill.fleet.authority.leadership import Leadership
@@ -11,7 +11,7 @@
 from aspenrill.fleet.interface import Store
 
 
-class AnswersBeforeStoring(AuthorityPart):
+class AnswersBeforeStoring(AuthorityComponent):
     def on_message(self, now, sender, incarnation, body):
         return sorted(super().on_message(now, sender, incarnation, body), key=lambda e: isinstance(e, Store))
 
@@ -91,4 +91,4 @@
         monkeypatch.setattr(part_module, "Voter", defect)
     elif issubclass(defect, Leadership):
         monkeypatch.setattr(election_module, "Leadership", defect)
-    return defect if issubclass(defect, AuthorityPart) else AuthorityPart
+    return defect if issubclass(defect, AuthorityComponent) else AuthorityComponent
--- a/tests/authority_world.py
+++ b/tests/authority_world.py
@@ -4,7 +4,7 @@
 
 import random
 
-from aspenrill.fleet.authority import AuthorityPart, Rules
+from aspenrill.fleet.authority import AuthorityComponent, Rules
 from aspenrill.fleet.interface import Agreed, Notify
 from standins.cluster import Cluster
 
@@ -16,7 +16,7 @@
     """
 
     def __init__(
-        self, seed: int, size: int, voters: int, kind=AuthorityPart, rules: dict | None = None, **more
+        self, seed: int, size: int, voters: int, kind=AuthorityComponent, rules: dict | None = None, **more
     ) -> None:
         self.rules = Rules(tuple(f"p{i}" for i in range(voters)), **(rules or {}))
         self.ledger: dict[int, Agreed] = {}
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -8,7 +8,7 @@
 from authority_world import World
 
 from aspenrill.errors import FleetConfigTrouble, StateTrouble
-from aspenrill.fleet.authority import AuthorityPart, Rules
+from aspenrill.fleet.authority import AuthorityComponent, Rules
 from aspenrill.fleet.authority import table as table_module
 from aspenrill.fleet.authority.table import Table
 from aspenrill.fleet.authority.wire import Accept, Accepted, Chunk, Record, decode, encode
@@ -41,7 +41,7 @@
     assert w.until(lambda: w.coordinator() is not None, 10)
     start = w.now
     assert not w.settled() and w.until(w.settled, 20)
-    assert w.now - start > w.rules.longest
+    assert w.now - start > w.rules.max_grant
 
 
 def test_leaving_coordinator_hands_over_at_once():
@@ -180,7 +180,7 @@
 def test_lower_epochs_are_refused():
     w = World(21, 1, 1)
     w.run(5)
-    part: AuthorityPart = w.procs["p0"].parts[0]
+    part: AuthorityComponent = w.procs["p0"].parts[0]
     epoch = part.epoch()
     assert epoch and part.accept_epoch(epoch) and part.accept_epoch(epoch + 2)
     assert not part.accept_epoch(epoch + 1) and part.epoch() == epoch + 2
--- a/tests/test_authority_world.py
+++ b/tests/test_authority_world.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from aspenrill.fleet.authority import AuthorityPart
+from aspenrill.fleet.authority import AuthorityComponent
 from aspenrill.fleet.interface import Notify, Store
 from standins.faults import Link, schedule
 
@@ -20,7 +20,7 @@
 KINDS = ("crash", "restart", "pause", "part", "cut", "weather", "leave", "trip", "disk")
 
 
-def play(seed: int, kind=AuthorityPart, size: int = 3, voters: int = 3, seconds: float = 40.0) -> World:
+def play(seed: int, kind=AuthorityComponent, size: int = 3, voters: int = 3, seconds: float = 40.0) -> World:
     """Faults and proposals for 0.7 of the time, then none: all processes must agree in the end.
 
     Only p1 ever loses its disk; the protocol does not tolerate two lost disks.
@@ -107,7 +107,7 @@
         model.walk(random.Random(seed), 40)
 
 
-def stale_epoch_world(kind=AuthorityPart) -> World:
+def stale_epoch_world(kind=AuthorityComponent) -> World:
     """A delayed record of an earlier epoch reaches a voter that has accepted one of a later epoch."""
     world = World(1, 3, 3, kind)
     assert world.until(lambda: world.ready(), 60)
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -18,9 +18,9 @@
 from aspenrill.errors import FleetConfigTrouble
 from aspenrill.fleet.components import FrontEndNames, build
 from aspenrill.fleet.config import read
-from aspenrill.fleet.kept.front import Kept
+from aspenrill.fleet.kept.front import AnswerCache
 from aspenrill.fleet.kept.policy import Policy, Rule
-from aspenrill.fleet.kept.store import Store
+from aspenrill.fleet.kept.store import AnswerStore
 from aspenrill.fleet.request_feed import RequestFeed
 from aspenrill.net.hub import Hub
 from aspenrill.reader import Reader
@@ -286,7 +286,7 @@
     on = {**COMPONENTS, "purges": {"enabled": True, "lease_s": 20.0}}
     parts = build(read(Reader({**BASE, **on}, "", [])), FrontEndNames(), None)
     assert [p.name for p in parts.all()] == ["authority", "purges", "groups", "overload"]
-    assert parts.authority.rules.longest == 20.0 and parts.purges.keeps
+    assert parts.authority.rules.max_grant == 20.0 and parts.purges.caching
 
 
 # ---- the owner and its request feed ----------------------------------------------------------------------
@@ -295,9 +295,11 @@
 @pytest.fixture
 def front() -> Front:
     found = Front()
-    store = Store()
+    store = AnswerStore()
     store.lease_end = 100.0
-    found.owner.kept = Kept(store, Policy({0: Rule("lookup", 60.0)}, frozenset({1})), lambda news: None)
+    found.owner.kept = AnswerCache(
+        store, Policy({0: Rule("lookup", 60.0)}, frozenset({1})), lambda news: None
+    )
     return found
 
 
@@ -328,7 +330,7 @@
         setattr(bridge, name, lambda *args, name=name: bridge.calls.append((name, *args)))
     counted = []
     groups = SimpleNamespace(
-        count=lambda *args: counted.append(args), tell=lambda now, facts: counted.append(facts)
+        count=lambda *args: counted.append(args), update_owner=lambda now, facts: counted.append(facts)
     )
     feed = front.owner.fleet = RequestFeed(front.owner, SimpleNamespace(groups=groups), bridge)
     front.ask("a")
--- a/tests/test_groups_forecast.py
+++ b/tests/test_groups_forecast.py
@@ -131,7 +131,7 @@
 
 # ---- schedule -------------------------------------------------------------------------------------------
 
-RULES = ScheduleRules(1000.0, lead=10 * DAY, notice=2, margin=DAY, looks=3)
+RULES = ScheduleRules(1000.0, lead=10 * DAY, notice=2, margin=DAY, cancel_checks=3)
 
 
 def outlook(hour: int, held: float, daily: float) -> Outlook:
@@ -143,15 +143,15 @@
 
 def test_a_split_is_planned_into_quiet_hours_before_the_limit():
     scheduler, now = Scheduler(RULES), 100 * DAY + 12
-    scheduler.look(outlook(now, 500.0, 30.0), {})
+    scheduler.update_outlook(outlook(now, 500.0, 30.0), {})
     assert scheduler.plan(7, 1, now) is None  # limit over 16 days away
-    scheduler.look(outlook(now, 700.0, 50.0), {})
+    scheduler.update_outlook(outlook(now, 700.0, 50.0), {})
     plan = scheduler.plan(7, 1, now)
-    assert plan.parts == 2 and plan.at == 101 * DAY + 3 and plan.before == now - 1 + 6 * DAY
+    assert plan.parts == 2 and plan.window_start == 101 * DAY + 3 and plan.limit_hour == now - 1 + 6 * DAY
     assert scheduler.plan(7, 2, now) is None and scheduler.plan(8, 1, now) is None
     assert scheduler.plan(7, 1, now + 3 * DAY) is None  # outdated outlook
-    scheduler.look(outlook(now, 1200.0, 50.0), {})
-    assert scheduler.plan(7, 1, now).at == now + 2  # no time for a quieter window
+    scheduler.update_outlook(outlook(now, 1200.0, 50.0), {})
+    assert scheduler.plan(7, 1, now).window_start == now + 2  # no time for a quieter window
     assert quietest_hour([1.0] * DAY, 5, 9, 2) == 5
     busy = replace(outlook(now, 0.0, 0.0), work=outlook(now, 0.0, 50.0).growth)
     assert limit_hour(busy, 1, replace(RULES, work=200.0)) == now - 1 + 3 * DAY
@@ -162,12 +162,12 @@
     scheduler, now = Scheduler(RULES), 100 * DAY
     split = Split("s", 7, 1, 2, Step.AGREED, now + 3, now + 9 * DAY)
     for n in range(40):  # the forecast alternates around the lead time
-        scheduler.look(outlook(now + n, 700.0, 33.0 if n % 2 else 26.0), {"s": split})
-        assert scheduler.wanted(split) is None
+        scheduler.update_outlook(outlook(now + n, 700.0, 33.0 if n % 2 else 26.0), {"s": split})
+        assert scheduler.drop_reason(split) is None
     for n in range(3):
-        assert scheduler.wanted(split) is None
-        scheduler.look(outlook(now + 40 + n, 400.0, 5.0), {"s": split})
-    assert "below" in scheduler.wanted(split)
+        assert scheduler.drop_reason(split) is None
+        scheduler.update_outlook(outlook(now + 40 + n, 400.0, 5.0), {"s": split})
+    assert "below" in scheduler.drop_reason(split)
     late = Split("t", 7, 1, 2, Step.AGREED, now + 6 * DAY, now + 9 * DAY)
-    scheduler.look(outlook(now, 900.0, 100.0), {"t": late})
-    assert "before its window" in scheduler.wanted(late)
+    scheduler.update_outlook(outlook(now, 900.0, 100.0), {"t": late})
+    assert "before its window" in scheduler.drop_reason(late)
--- a/tests/test_groups_splits.py
+++ b/tests/test_groups_splits.py
@@ -20,9 +20,9 @@
 from aspenrill.fleet import atomic_file
 from aspenrill.fleet.groups import counts, owner_file
 from aspenrill.fleet.groups.part import Groups
-from aspenrill.fleet.groups.records import Shape, Split, Step, pack
-from aspenrill.fleet.groups.route import Map, Router, order, part_of
-from aspenrill.fleet.groups.splits import Facts, SplitNews, SplitRules, Splits
+from aspenrill.fleet.groups.records import Layout, Split, Step, pack
+from aspenrill.fleet.groups.route import Map, Router, engine_order, part_for_key
+from aspenrill.fleet.groups.splits import OwnerState, SplitRules, Splits, SplitsUpdate
 from aspenrill.fleet.interface import Agreed
 from aspenrill.state import Fleet
 from standins.cluster import Broken
@@ -40,7 +40,7 @@
             if rng.random() < 0.2:
                 scene.world.do(
                     rng.choice(scene.world.names),
-                    lambda proc, split=split: proc.part("groups").call_off(proc.clock(), split),
+                    lambda proc, split=split: proc.part("groups").cancel_split(proc.clock(), split),
                     "groups",
                 )
         scene.world.run(seconds / 5)
@@ -86,7 +86,7 @@
         scene.world.run(60.0)
         assert not scene.ledger.log
     splits = Splits(SplitRules(), None, Router())
-    splits.update_owner(0.0, Facts(False, False, ENGINES))
+    splits.update_owner(0.0, OwnerState(False, False, ENGINES))
     assert splits.is_calm(30.0) and not splits.is_calm(31.0) and not splits.is_calm(-1.0)
 
 
@@ -137,8 +137,8 @@
 
 class TwoVersionsAtOnce(Splits):
     def _switch(self, now, split):
-        shape = Shape(self.map.version + 1, split.group, split.parts, split.id)
-        return self.propose_record(now, "map", str(split.group), pack(shape))
+        layout = Layout(self.map.version + 1, split.group, split.parts, split.id)
+        return self.propose_record(now, "map", str(split.group), pack(layout))
 
 
 class NoConcurrencyLimit(Splits):
@@ -224,9 +224,9 @@
                 machine.waiting.append((kind, key, body))
                 return []
 
-        rules = SplitRules(notice=1, warm=1, spread=1, again=2, rest=5, forget=1e9)
+        rules = SplitRules(notice=1, warm=1, spread=1, repeat_after=2, backoff=5, forget_after=1e9)
         node = Splits(rules, OwnAuthority(), Router(ENGINES))
-        node.update_owner(0.0, Facts(False, False, ENGINES))
+        node.update_owner(0.0, OwnerState(False, False, ENGINES))
         return node
 
     @rule(
@@ -236,7 +236,7 @@
         self.now += seconds
         self.hour += late
         node = self.nodes[self.coordinator]
-        node.update_owner(self.now, Facts(storm_, False, ENGINES))
+        node.update_owner(self.now, OwnerState(storm_, False, ENGINES))
         node.tick(self.now, self.hour, list(node.splits) if off else (), lambda s: None, lambda v: False)
 
     @rule(group=st.sampled_from([1, 2, 3]))
@@ -289,7 +289,7 @@
     def all_agreed(self):
         for node in self.nodes:
             assert all(("split", s) in self.ledger.states for s in node.splits.values())
-            assert all(("map", s) in self.ledger.states for s in node.map.shapes.values())
+            assert all(("map", s) in self.ledger.states for s in node.map.layouts.values())
 
 
 def test_steps_under_any_order_of_events():
@@ -308,16 +308,16 @@
     fleet = Fleet((8,), ())
     fleet.apply(ListUpdate(ListMode.COMPLETE, tuple(EngineEntry(e, EngineState.LIVE) for e in ENGINES)), 0.0)
     for group in range(50):
-        assert order(group, 0, ENGINES) == tuple(e.entry.engine for e in fleet.order(group))
+        assert engine_order(group, 0, ENGINES) == tuple(e.entry.engine for e in fleet.order(group))
 
 
 def test_doubling_moves_keys_only_into_new_parts_with_homes_of_their_own():
     keys = [str(n).encode() for n in range(2000)]
     for parts in (1, 2, 4):
-        moved = [part_of(17, k, 2 * parts) - part_of(17, k, parts) for k in keys]
+        moved = [part_for_key(17, k, 2 * parts) - part_for_key(17, k, parts) for k in keys]
         assert set(moved) == {0, parts} and 850 < sum(m > 0 for m in moved) < 1150
-    router, one, two = Router(ENGINES), Map(), Map().with_shape(Shape(1, 17, 2, "s"))
-    assert two.with_shape(Shape(1, 17, 4, "t")) is two and part_of(17, None, 8) == 0
+    router, one, two = Router(ENGINES), Map(), Map().with_layout(Layout(1, 17, 2, "s"))
+    assert two.with_layout(Layout(1, 17, 4, "t")) is two and part_for_key(17, None, 8) == 0
     assert len({router.part_order(g, p)[0] for g in range(40) for p in range(2)}) >= 10
     for key in keys[:50]:
         homes = router.allowed([one, two], 17, key)
@@ -327,7 +327,10 @@
 def test_owner_file_is_written_atomically(tmp_path, monkeypatch):
     path = tmp_path / "splits.json"
     split = Split("s", 17, 1, 2, Step.AGREED, 5, 9, ("e1", "e2"))
-    first, second = SplitNews((split,), Map()), SplitNews((split,), Map().with_shape(Shape(1, 17, 2, "s")))
+    first, second = (
+        SplitsUpdate((split,), Map()),
+        SplitsUpdate((split,), Map().with_layout(Layout(1, 17, 2, "s"))),
+    )
     assert owner_file.write(path, first) and not owner_file.write(path, first)
     before = path.read_bytes()
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -11,9 +11,9 @@
 from aspenrill import api
 from aspenrill.core.books import Call, Result
 from aspenrill.fleet.kept import scopes
-from aspenrill.fleet.kept.front import Joined, Kept, LoadNews
+from aspenrill.fleet.kept.front import AnswerCache, Joined, LoadUpdate
 from aspenrill.fleet.kept.policy import Policy, Rule, read_kept, read_purges
-from aspenrill.fleet.kept.store import Bounds, Store
+from aspenrill.fleet.kept.store import AnswerStore, Bounds
 from aspenrill.reader import Reader
 
 QUERY = b"select a from sales_17.orders"
@@ -23,12 +23,12 @@
 class OwnerSide:
     """The owner's side of the cache: creates requests and records load updates."""
 
-    def __init__(self, joins: int = 2, **bounds) -> None:
-        self.store, self.load_updates, self.count = Store(Bounds(**bounds)), [], 0
+    def __init__(self, max_joined: int = 2, **bounds) -> None:
+        self.store, self.load_updates, self.count = AnswerStore(Bounds(**bounds)), [], 0
         self.store.lease_end = 100.0
         rules = {0: Rule("lookup", 5.0), 2: Rule("shop", 5.0, frozenset({1}))}
-        policy = Policy(rules, frozenset({1}), joins=joins)
-        self.kept = Kept(self.store, policy, self.load_updates.append)
+        policy = Policy(rules, frozenset({1}), max_joined=max_joined)
+        self.kept = AnswerCache(self.store, policy, self.load_updates.append)
 
     def call(self, text: bytes = QUERY, cls: int = 0, tenant: int = 0) -> Call:
         self.count += 1
@@ -83,14 +83,14 @@
 
 
 def test_requests_join_one_fetch_up_to_a_limit():
-    owner = OwnerSide(joins=2)
+    owner = OwnerSide(max_joined=2)
     first = owner.fetch(0.0)
     waiting = [owner.call() for _ in range(2)]
     assert [owner.kept.lookup(call, 0.5) for call in waiting] == [Joined(1.5)] * 2
     assert owner.kept.lookup(owner.call(), 0.5) is None  # above the limit of joined requests
     waiting[1].open = False  # its client is gone
     released = owner.kept.ended(first, ROWS, 1.0)
-    assert released.served == [waiting[0]] and not released.go_on and not owner.kept.joined
+    assert released.served == [waiting[0]] and not released.to_send and not owner.kept.joined
 
 
 @pytest.mark.parametrize("end", ["fails", "purged", "no lease", "closed", "tired"])
@@ -106,11 +106,11 @@
     if end == "closed":
         assert owner.kept.closed(first, 0.3) == [second]
     elif end == "tired":
-        assert owner.kept.tired(second) and not owner.kept.tired(second)
+        assert owner.kept.stop_waiting(second) and not owner.kept.stop_waiting(second)
         assert not owner.kept.ended(first, ROWS, 0.3).served
     else:
         released = owner.kept.ended(first, None if end == "fails" else ROWS, 0.3)
-        assert released.go_on == [second] and not released.served
+        assert released.to_send == [second] and not released.served
 
 
 def test_loads_purge_when_sent_and_at_any_end():
@@ -120,15 +120,15 @@
     owner.kept.lookup(load, 0.2)
     owner.kept.sent(load, 0.2)
     assert owner.kept.lookup(owner.call(), 0.3) is None and owner.load_updates == [
-        LoadNews(("g17", "g18"), False)
+        LoadUpdate(("g17", "g18"), False)
     ]
     owner.kept.closed(load, 0.4)  # timed out: its end is unknown
     owner.kept.ended(load, None, 0.9)  # and becomes known later
-    assert owner.load_updates[1:] == [LoadNews(("g17", "g18"), True)] * 2
+    assert owner.load_updates[1:] == [LoadUpdate(("g17", "g18"), True)] * 2
     other = owner.call(b"exec import_all", cls=1)
     owner.kept.sent(other, 1.0)
     owner.kept.sent(other, 1.1)  # second attempt
-    assert owner.load_updates[3:] == [LoadNews(("all",), e) for e in (False, False, True)]
+    assert owner.load_updates[3:] == [LoadUpdate(("all",), e) for e in (False, False, True)]
 
 
 @pytest.mark.parametrize(
@@ -175,14 +175,14 @@
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 12), st.integers(1, 400)), max_size=60))
 def test_bounds_hold_and_least_recently_used_is_evicted(puts):
-    store = Store(Bounds(5, 1000, 300))
+    store = AnswerStore(Bounds(5, 1000, 300))
     store.lease_end = 1e9
     for key, size in puts:
         kept = store.put(0.0, (0, 0, b"%d" % key), key, size, store.stamp(("g1",)), 9.0)
         assert kept == (size + len(b"%d" % key) <= 300)
         assert len(store.answers) <= 5 and store.bytes <= 1000
         assert store.bytes == sum(answer.size for answer in store.answers.values())
-    store = Store(Bounds(2))
+    store = AnswerStore(Bounds(2))
     store.lease_end = 1e9
     for key in (b"a", b"b"):
         store.put(0.0, (0, 0, key), key, 1, store.stamp(()), 9.0)
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -20,14 +20,14 @@
 from aspenrill.errors import DiskTrouble, PurgeFileTrouble
 from aspenrill.fleet.interface import MAX_BODY, Agreed, LogLine, Member, Notify, Place, Post, State
 from aspenrill.fleet.interface import Store as Saves
-from aspenrill.fleet.kept.store import Store
+from aspenrill.fleet.kept.store import AnswerStore
 from aspenrill.fleet.purges import wire
 from aspenrill.fleet.purges.folder import Folder, write_state
-from aspenrill.fleet.purges.leases import LeaseNode, longest
+from aspenrill.fleet.purges.leases import LeaseNode, grantor_duration
 from aspenrill.fleet.purges.orders import parse
 from aspenrill.fleet.purges.origin import Accepted, Complete, Origin
 from aspenrill.fleet.purges.part import Purges
-from aspenrill.fleet.purges.report import line
+from aspenrill.fleet.purges.report import log_line
 from aspenrill.fleet.purges.root import Coordinator
 from aspenrill.fleet.purges.tree import Tree
 from standins.purging import build, purge
@@ -59,7 +59,7 @@
 
 def alone(stored=()) -> tuple[Purges, Alone, list]:
     view = Alone()
-    part = Purges(random.Random(1), Store(), view)
+    part = Purges(random.Random(1), AnswerStore(), view)
     return part, view, part.on_start(0.0, view, dict(stored))
 
 
@@ -72,13 +72,13 @@
     effects = part.on_agreed(2.0, Agreed(9, 1, *view.proposed))
     assert Notify(Complete("a", 5, 1, "g17", "tag")) in effects and Saves("purge/5/1", None) in effects
     found = part.report(3.0)
-    assert found["complete"][0]["complete_s"] == 1.0 and line(found) == "purges: none open, 1 complete"
+    assert found["complete"][0]["complete_s"] == 1.0 and log_line(found) == "purges: none open, 1 complete"
 
 
 def test_restart_resumes_purges_and_purges_scopes_of_open_loads():
     saved = wire.encode(wire.Saved(3, 7, "g1", "operator", "t"))
     part, _, effects = alone({"purge/3/7": saved, "load/g9": b"1", "purge/3/8": saved[:5]})
-    scopes = [purge.item for purge in part.origin.out.values()]
+    scopes = [purge.item for purge in part.origin.incomplete.values()]
     assert scopes == [(3, 7, "g1"), (5, 1, "g9"), (5, 2, "all")]
     assert any(isinstance(e, LogLine) and "purge/3/8 is damaged" in e.text for e in effects)
     assert Saves("load/g9", None) in effects
@@ -99,7 +99,7 @@
     for at in range(100):
         origin.accept(0.0, f"g{at}", "load")
         assert len(wire.encode(wire.Spread(2, "a", origin.items))) <= MAX_BODY
-    assert any(purge.item[2] == "all" for purge in origin.out.values()) and len(origin.out) < 40
+    assert any(purge.item[2] == "all" for purge in origin.incomplete.values()) and len(origin.incomplete) < 40
 
 
 def test_consecutive_serials_purge_their_scope_and_gaps_purge_everything():
@@ -267,8 +267,8 @@
     node = LeaseNode(3)
     assert node.grant(0.0, ("a", 1), 0, root_lease=6.0) == 6.0
     node.mark_all_lagging()
-    assert node.update_clear(longest(6.0) - 0.01, 1) == 0 and longest(6.0) > 6.06
-    assert node.update_clear(longest(6.0), 1) == 1
+    assert node.update_clear(grantor_duration(6.0) - 0.01, 1) == 0 and grantor_duration(6.0) > 6.06
+    assert node.update_clear(grantor_duration(6.0), 1) == 1
 
 
 # ---- faults at each step, one at a time ------------------------------------------------------------------
@@ -302,7 +302,7 @@
     found = part.report(world.procs["m0000"].clock())
     assert found["open"][0]["state"] == "acknowledged, not complete" and not found["serves_kept"]
     world.net.heal()
-    assert world.until(lambda: not part.origin.out, 15.0)
+    assert world.until(lambda: not part.origin.incomplete, 15.0)
 
 
 # ---- operators' files -----------------------------------------------------------------------------------
@@ -331,7 +331,7 @@
     (tmp_path / "b.toml").write_text('what = "nothing"')
     folder = Folder(str(tmp_path), lines.append)
     (order,) = folder.read(("lookup",))
-    assert order.scope == "g17" and order.why == "operator: prices"
+    assert order.scope == "g17" and order.reason == "operator: prices"
     assert len(lines) == 1 and "b.toml" in lines[0]
     assert Folder(str(tmp_path), lines.append).read(("lookup",)) == [order]  # not renamed: the same tag
     folder.accepted(order.tag)
--- a/tests/test_purges_fleet.py
+++ b/tests/test_purges_fleet.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from aspenrill.fleet.kept.front import Kept, Released
-from aspenrill.fleet.kept.store import Store
+from aspenrill.fleet.kept.front import AnswerCache, Released
+from aspenrill.fleet.kept.store import AnswerStore
 from aspenrill.fleet.purges import leases, wire
 from aspenrill.fleet.purges.part import Purges
 from standins import cluster
@@ -50,7 +50,7 @@
 
 
 def still_open(world: Cluster) -> list[str]:
-    return [proc.name for proc in world.running if proc.part("purges").origin.out]
+    return [proc.name for proc in world.running if proc.part("purges").origin.incomplete]
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -79,12 +79,12 @@
 # ---- planted defects -----------------------------------------------------------------------------------
 
 
-class CachesAfterPurge(Store):
+class CachesAfterPurge(AnswerStore):
     def put(self, now, key, result, size, stamp, until):
         return super().put(now, key, result, size, self.stamp(stamp.scopes[1:]), until)
 
 
-class ServesWithoutLease(Store):
+class ServesWithoutLease(AnswerStore):
     def serves(self, now):
         return self.lease_end > 0
 
@@ -151,7 +151,7 @@
         super().advance(now, serial, ["g1023"] * (missing - len(scopes)) + scopes)
 
 
-class LoadsOnlyWhenSent(Kept):
+class LoadsOnlyWhenSent(AnswerCache):
     def ended(self, call, result, now) -> Released:
         self.policy, policy = type(self.policy)(self.policy.rules), self.policy
         try:
