--- a/aspenrill/membership/addresses.py
+++ b/aspenrill/membership/addresses.py
@@ -7,7 +7,7 @@
 
 from netaddr import AddrFormatError, IPAddress, IPNetwork, IPSet
 
-from ..net.address import plain
+from ..net.address import canonical_host
 
 # Unspecified, multicast and broadcast addresses: no engine can listen there.
 NON_HOST_NETWORKS = ("0.0.0.0/8", "224.0.0.0/4", "255.255.255.255/32", "::/128", "ff00::/8")
@@ -41,7 +41,9 @@
         found = self._decisions.get(host)
         if found is None:
             try:
-                address = IPAddress(plain(host))  # an IPv4-mapped IPv6 address must not bypass the deny set
+                address = IPAddress(
+                    canonical_host(host)
+                )  # an IPv4-mapped IPv6 address must not bypass the deny set
             except (AddrFormatError, ValueError):
                 return False
             found = self._decisions[host] = (self.allow is None or address in self.allow) and (
--- a/aspenrill/membership/engine.py
+++ b/aspenrill/membership/engine.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from ..members import Member
-from ..net.address import show
+from ..net.address import format_address
 from .flaps import Damping, FlapDamper
 from .source import DRAINING, LIVE, Address, Source
 
@@ -63,7 +63,7 @@
     """Returns the member's id, with the address appended if another listed engine already uses that id."""
     engine_id, number = member.engine, 1
     while ids.get(engine_id, address) != address and ids[engine_id] in engines:
-        engine_id = f"{member.engine}@{show(address)}" + (f"#{number}" if number > 1 else "")
+        engine_id = f"{member.engine}@{format_address(address)}" + (f"#{number}" if number > 1 else "")
         number += 1
     return engine_id
 
