--- a/aspenrill/adapter.py
+++ b/aspenrill/adapter.py
@@ -21,7 +21,7 @@
     "502": api.Outcome.CONNECT_FAILED,
     "598": api.Outcome.RESET,
     "499": api.Outcome.CANCELLED,
-    "410": api.Outcome.MOOT,
+    "410": api.Outcome.NOT_STARTED,
 }
 STATES = {"live": api.EngineState.LIVE, "quiescing": api.EngineState.DRAINING, "dead": api.EngineState.GONE}
 MODES = {
@@ -116,7 +116,7 @@
             return f"DROP_ATTEMPT\t{request}\t{attempt}"
         case api.Probe(engine):
             return f"TOUCH\t{engine}"
-        case api.Tell(data):
+        case api.SendGossip(data):
             return f"WRITE_PEER\t-1\t{data.hex()}"
         case api.WatchList():
             return "TAIL\t1"
@@ -169,7 +169,7 @@
                 request=values[0],
                 tenant=_optional(values[1], "WORK_ITEM project", _integer, 0),
                 key=None if values[2] == "-" else values[2],
-                patience=_seconds(values[3], "WORK_ITEM patience_left_ns"),
+                time_budget=_seconds(values[3], "WORK_ITEM patience_left_ns"),
                 memory_mb=_optional(values[4], "WORK_ITEM ram_mb", _number, 0.0),
                 cls=_integer(values[6], "WORK_ITEM kind"),
                 work=work if flags & COST_BIT and work else None,
--- a/aspenrill/api.py
+++ b/aspenrill/api.py
@@ -27,12 +27,12 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
 
     @property
     def never_ran(self) -> bool:
         """Whether the outcome proves that the engine did not start the work."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
     @property
     def may_still_run(self) -> bool:
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True)
 class QueryClass:
-    """One class of requests. Its latency target is `aim` + `aim_stretch` x work / threads, in seconds."""
+    """A class of requests. Its target is `latency_target` + `target_per_work` x work / threads (in s)."""
 
-    aim: float
-    patience: float
+    latency_target: float
+    time_budget: float
     effect: Effect
     worth: float = 1.0
     late_worth: float = 0.0
-    aim_stretch: float = 0.0
+    target_per_work: float = 0.0
     dedup_scope: str = "all"
     dedup_window: float = 0.0
     in_order: bool = False
@@ -93,26 +93,26 @@
     cores_by_kind: tuple[int, ...]
     memory_by_kind: tuple[float, ...] = ()
     gateways: int = 1
-    me: int = 0
-    most_attempts: int = 3
+    gateway_index: int = 0
+    max_attempts: int = 3
     may_cancel: bool = False
     may_probe: bool = False
-    may_tell: bool = False
-    tell_price: float = 0.0  # the same for one message of 256 bytes
+    may_gossip: bool = False
+    gossip_price: float = 0.0  # the same for one message of 256 bytes
     probe_price: float = 0.0  # share of the result that one probe for each request costs
     shortage_pages: bool = False
-    longest_come_back: float = 0.0
-    grants_heeded: bool = False
-    largest_grant: float = 1.0
-    priorities_heeded: bool = False
-    costs_told: bool = False
-    ask_for_list: bool = False
+    max_retry_after: float = 0.0
+    honors_grants: bool = False
+    max_grant: float = 1.0
+    honors_priorities: bool = False
+    reports_work: bool = False
+    subscribe_to_list: bool = False
     report_fields: tuple[str, ...] = ()
     start_capacity: float = 1.0
     cold_for: float = 0.0
     fall_multiple: float = 0.0
     fall_window: float = 0.0
-    key_rest: float | None = None
+    key_backoff: float | None = None
     retry_free: float | None = None
     retry_ratio: float | None = None
     retry_span: float = 0.0
@@ -127,8 +127,8 @@
             raise ValueError("cores_by_kind: each kind needs at least one core")
         if self.gateways < 1:
             raise ValueError(f"gateways: must be 1 or more, got {self.gateways}")
-        if self.most_attempts < 1:
-            raise ValueError(f"most_attempts: must be 1 or more, got {self.most_attempts}")
+        if self.max_attempts < 1:
+            raise ValueError(f"max_attempts: must be 1 or more, got {self.max_attempts}")
         for owner, label in [(self, "")] + [(c, f"classes[{i}].") for i, c in enumerate(self.classes)]:
             for f in fields(owner):
                 value = getattr(owner, f.name)
@@ -174,13 +174,13 @@
 
     request: str
     cls: int
-    patience: float
+    time_budget: float
     tenant: int = 0
     key: str | None = None
     memory_mb: float = 0.0
     work: float | None = None
     data_set: int | None = None
-    waited: float = 0.0  # seconds by which the gateway's own program is behind
+    program_delay: float = 0.0  # seconds by which the gateway's own program is behind
     client_retry: bool = False
 
 
@@ -310,10 +310,10 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused. A repeat does no harm; `come_back` is a hint when, in seconds (0: none)."""
+    """Final answer: refused. A repeat does no harm; `retry_after` is a hint when, in seconds (0: none)."""
 
     request: str
-    come_back: float = 0.0
+    retry_after: float = 0.0
     reason: EndReason | None = field(default=None, compare=False)  # only for the log
 
 
@@ -341,7 +341,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendGossip:
     """Send a gossip message of at most 256 bytes to every other gateway; it may be lost."""
 
     data: bytes
@@ -367,4 +367,4 @@
     text: str
 
 
-Action = Send | SetTerms | Refuse | Fail | Cancel | Probe | Tell | WatchList | SetTimer | Log
+Action = Send | SetTerms | Refuse | Fail | Cancel | Probe | SendGossip | WatchList | SetTimer | Log
--- a/aspenrill/application.py
+++ b/aspenrill/application.py
@@ -45,17 +45,17 @@
 def _class(row: Reader) -> tuple[str, api.QueryClass]:
     name = row.text("name")
     spec = api.QueryClass(
-        aim=row.number("wanted_ms", None, 1, LONGEST) / 1000,
-        patience=row.number("give_up_ms", None, 1, LONGEST) / 1000,
+        latency_target=row.number("wanted_ms", None, 1, LONGEST) / 1000,
+        time_budget=row.number("give_up_ms", None, 1, LONGEST) / 1000,
         effect=EFFECTS[row.choice("effect", tuple(EFFECTS), "repeatable")],
         worth=row.number("worth", 1.0, 0.001),
         late_worth=row.number("late_worth", 0.0, 0, 1),
-        aim_stretch=row.number("stretch", 0.0, 0, 1000),
+        target_per_work=row.number("stretch", 0.0, 0, 1000),
         dedup_window=row.number("repeat_window_ms", 0, 0, LONGEST) / 1000,
         threads=int(row.number("threads", 1, 1, 1024)),
         is_load=row.flag("load", False),
     )
-    if spec.aim > spec.patience:
+    if spec.latency_target > spec.time_budget:
         row.fault("wanted_ms", "must not be beyond give_up_ms")
     if spec.effect is api.Effect.KEYED and not spec.dedup_window:
         row.fault("repeat_window_ms", "missing; for how long engines drop a repeat of a key")
@@ -164,13 +164,13 @@
     rules = top.table_of("rules")
     settings_more = {
         "gateways": int(rules.number("front_ends", 1, 1, 65536)),
-        "most_attempts": int(rules.number("most_attempts", 3, 1, 100)),
+        "max_attempts": int(rules.number("most_attempts", 3, 1, 100)),
         "start_capacity": rules.number("start_capacity", 0.3, 0.01, 1),
         "cold_for": rules.number("cold_ms", 12000, 0, LONGEST) / 1000,
         "fall_multiple": rules.number("fall_multiple", 2.5, 0.1, 100),
         "fall_window": rules.number("fall_ms", 1500, 0, LONGEST) / 1000,
     }
-    settings_more["me"] = int(rules.number("front_end", 1, 1, settings_more["gateways"])) - 1
+    settings_more["gateway_index"] = int(rules.number("front_end", 1, 1, settings_more["gateways"])) - 1
     rules.end()
     limits = top.table_of("limits")
     memory, sockets = (
@@ -189,7 +189,7 @@
             memory_by_kind=tuple(m or float("inf") for m in more.pop("memory")),
             may_cancel=True,
             may_probe=True,
-            longest_come_back=2.0,
+            max_retry_after=2.0,
             tenant_quotas=tuple(t[1] for t in tenants),
             **settings_more,
         )
--- a/aspenrill/control.py
+++ b/aspenrill/control.py
@@ -9,7 +9,13 @@
 
 from . import api
 from .policy import Admission, Choice, Outcomes, Sending, View
-from .policy.figures import GOSSIP_COST, MAX_CANDIDATES, MAX_PROBES, QUEUE_CHECK_INTERVAL, WATCH
+from .policy.figures import (
+    GOSSIP_COST,
+    IN_FLIGHT_CHECK_INTERVAL,
+    MAX_CANDIDATES,
+    MAX_PROBES,
+    QUEUE_CHECK_INTERVAL,
+)
 from .state import ClassMix, ClassStats, Fleet, KeyQueues
 
 # Slowdown of a large fleet that is assumed until answers show the true one.
@@ -32,7 +38,7 @@
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         settings.validate()
-        self.set = settings
+        self.settings = settings
         self.now = now
         self.random = random.Random(seed)
         self.classes = [ClassStats(c) for c in settings.classes]
@@ -40,7 +46,7 @@
         # Engines: those that the list has as live, and among these the cold and the ejected ones.
         self.live, self.cold, self.ejected = [], [], []
         # Requests by id: all that have not ended, those with an attempt in flight, those queued (in order).
-        self.queries, self.out, self.held = {}, {}, {}
+        self.pending, self.in_flight, self.queued = {}, {}, {}
         # Requests with an ordered key, in order of arrival, and until when a key is backed off.
         self.key_queues, self.key_backoff_until = KeyQueues(), {}
         # Moments of each kind, the oldest first.
@@ -48,14 +54,14 @@
             deque() for _ in range(5)
         )
         # The entry gap: its level, seconds between entries on level 1 before the growth by level.
-        self.rung = 0
+        self.gap_level = 0
         self.base_gap = 0.0
         self.next_entry_at = 0.0
         self.gap_kept_until = 0.0
         self.next_gap_check_at = now
         # How the load of engines is known; see View._on_list.
         self.uses_reported_load = self.uses_capacity_share = self.uses_gossip = self.may_page = False
-        self.ordinary = INITIAL_SLOWDOWN if settings.gateways > MAX_CANDIDATES else 1.0
+        self.fleet_slowdown = INITIAL_SLOWDOWN if settings.gateways > MAX_CANDIDATES else 1.0
         self.affinity_engines = []
         self.mean_load = 0.0
         self.mean_load_at = now
@@ -79,33 +85,41 @@
         if isinstance(event, api.PeerMessage):  # by far the most frequent
             self._on_gossip(event.data)
             return self.actions
-        if now > self.timer_at + WATCH:  # this process stalled: engines may have answered long ago
+        if (
+            now > self.timer_at + IN_FLIGHT_CHECK_INTERVAL
+        ):  # this process stalled: engines may have answered long ago
             self.resumed_at, self.timer_at = now, math.inf
         match event:
             case api.ListUpdate():
                 self._on_list(event)
             case api.Request():
                 self._on_request(event)
-            case api.AttemptEnded() if event.request in self.out:
-                self._on_outcome(self.out.pop(event.request), event)
-            case api.AttemptNote() if event.request in self.queries:
-                self._on_note(self.queries[event.request], event)
+            case api.AttemptEnded() if event.request in self.in_flight:
+                self._on_outcome(self.in_flight.pop(event.request), event)
+            case api.AttemptNote() if event.request in self.pending:
+                self._on_note(self.pending[event.request], event)
             case api.ProbeEnded() if event.engine in self.fleet.engines:
                 self._on_probe(self.fleet.engines[event.engine], event)
-            case api.ClientGone(request) if request in self.queries:
-                self._end(self.queries[request], gone=True)
+            case api.ClientGone(request) if request in self.pending:
+                self._end(self.pending[request], gone=True)
             case api.Closing():  # every request gets its answer; an attempt in flight may have run
-                for pending in list(self.queries.values()):
+                for pending in list(self.pending.values()):
                     pending.record_run(pending.engine, pending.engine is not None)
                     self._end(pending, api.EndReason.SHUTDOWN)
             case api.TimerDue() if now >= self.timer_at - 1e-6:
                 self.timer_at = math.inf
                 self._check_in_flight()
                 self._update_gap()
-        if self.held and not isinstance(event, (api.Request, api.AttemptNote)):
+        if self.queued and not isinstance(event, (api.Request, api.AttemptNote)):
             self._release(self.uses_reported_load or not isinstance(event, api.AttemptEnded))
-        busy = self.held or self.out or self.rung or self.ejected or self.list_retry_at < math.inf
-        if busy and now + (wait := QUEUE_CHECK_INTERVAL if self.held else WATCH) < self.timer_at:
+        busy = (
+            self.queued or self.in_flight or self.gap_level or self.ejected or self.list_retry_at < math.inf
+        )
+        if (
+            busy
+            and now + (wait := QUEUE_CHECK_INTERVAL if self.queued else IN_FLIGHT_CHECK_INTERVAL)
+            < self.timer_at
+        ):
             self.timer_at = now + wait
             self.actions.append(api.SetTimer(wait, "look"))
         return self.actions
--- a/aspenrill/core/books.py
+++ b/aspenrill/core/books.py
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """Final answer: a repeat does no harm; `come_back` is a hint when, in seconds (0: none)."""
+    """Final answer: a repeat does no harm; `retry_after` is a hint when, in seconds (0: none)."""
 
-    come_back: float = 0.0
+    retry_after: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -47,7 +47,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Call:
+class ClientRequest:
     """A request that a protocol front end has accepted. Times are of the monotonic clock."""
 
     id: str
@@ -57,10 +57,12 @@
     key: str | None
     data_set: int | None
     arrived_at: float
-    patience: float
-    reply: Callable[[Call, Final], None]
+    time_budget: float
+    reply: Callable[[ClientRequest, Final], None]
     open: bool = True
-    gone: bool = False  # its client has disconnected: set at once, before the owner gets the `Left` event
+    gone: bool = (
+        False  # its client has disconnected: set at once, before the owner gets the `ClientLeft` event
+    )
     attempts_sent: int = 0
     first_sent_at: float = 0.0
     priority: int = 1
@@ -71,7 +73,7 @@
     @property
     def deadline(self) -> float:
         """When its client stops waiting."""
-        return self.arrived_at + self.patience
+        return self.arrived_at + self.time_budget
 
 
 @dataclass(eq=False, slots=True)
@@ -83,12 +85,14 @@
     state: EngineState
     started: float = 0.0
     idle: list[Any] = field(default_factory=list)
-    heads: dict[int, bytes] = field(default_factory=dict)  # by class: the first bytes of each request to it
+    request_heads: dict[int, bytes] = field(
+        default_factory=dict
+    )  # by class: the first bytes of each request to it
     failed_connects: int = 0  # failed connects in a row, since one succeeded or it answered
     retired: bool = False  # replaced by another process or address
-    dialing: int = 0  # connects in progress
+    connecting: int = 0  # connects in progress
     failed_at: float = -1e9  # last connect that timed out
-    broke_at: float = -1e9  # last connection that the engine or the network ended
+    lost_at: float = -1e9  # last connection that the engine or the network ended
     waiting: deque = field(default_factory=deque)  # tasks that wait for a connection to it
 
     @property
@@ -101,7 +105,7 @@
 class Attempt:
     """One send of a request to an engine, in flight until its end is reported."""
 
-    call: Call
+    client_request: ClientRequest
     peer: Peer
     number: int
     until: float
@@ -109,18 +113,18 @@
     task: Any = None
     cancelled: bool = False
     begin_by: float = math.inf  # limit for its first byte: by a repeat's window or a cold engine's slot
-    began: float = field(default_factory=time.monotonic)
-    asked: float | None = None  # when bytes were last sent to the engine; None: none yet
-    heard: float = 0.0  # when bytes last came from it
-    spoilt: int = 0  # malformed answers
+    began_at: float = field(default_factory=time.monotonic)
+    sent_at: float | None = None  # when bytes were last sent to the engine; None: none yet
+    received_at: float = 0.0  # when bytes last came from it
+    malformed: int = 0  # malformed answers
     state: Any = None  # for use by its protocol
 
     @property
     def wanted(self) -> bool:
         """Whether its first byte may still be sent: its request and its engine allow it, and time is left."""
         return (
-            self.call.open
-            and not self.call.gone
+            self.client_request.open
+            and not self.client_request.gone
             and not self.cancelled
             and time.monotonic() < min(self.until, self.begin_by)
             and self.peer.takes_work
@@ -131,35 +135,35 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestReceived:
     """A protocol front end has accepted a request."""
 
-    call: Call
+    client_request: ClientRequest
 
 
 @dataclass(slots=True)
-class Tired:
+class WaitExpired:
     """A request has waited for another request's answer as long as it may."""
 
-    call: Call
+    client_request: ClientRequest
 
 
 @dataclass(slots=True)
-class Left:
+class ClientLeft:
     """The client of a request has disconnected or cancelled it."""
 
-    call: Call
+    client_request: ClientRequest
 
 
 @dataclass(slots=True)
-class Expired:
+class DeadlinePassed:
     """A request has no answer and its deadline has passed."""
 
-    call: Call
+    client_request: ClientRequest
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptFinished:
     """An attempt has ended."""
 
     attempt: Attempt
@@ -171,7 +175,7 @@
 
 
 @dataclass(slots=True)
-class Noted:
+class AttemptNoted:
     """A note on an attempt in flight."""
 
     attempt: Attempt
@@ -180,7 +184,7 @@
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeFinished:
     """A probe has ended."""
 
     peer: Peer
@@ -190,14 +194,14 @@
 
 
 @dataclass(slots=True)
-class Due:
+class TimerExpired:
     """A timer of the decision module is due."""
 
     name: str
 
 
 @dataclass(slots=True)
-class Heard:
+class GossipReceived:
     """Gossip of another front end's decision module. `sender` is its rank among all known front ends."""
 
     sender: int
@@ -205,7 +209,7 @@
 
 
 @dataclass(slots=True)
-class Unfit:
+class UnhealthyQuery:
     """A query for the engines that are unhealthy now; `tell` is called with their ids."""
 
     tell: Callable[[list[str]], None]
--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -1,8 +1,4 @@
-"""The owner: the one task that runs the decision module and executes its actions.
-
-Every event reaches it through its queue. It never waits for a socket: other tasks perform attempts and probes
-and write answers.
-"""
+"""The owner: the task that runs the decision module and executes its actions, without waiting for sockets."""
 
 from __future__ import annotations
 
@@ -16,12 +12,12 @@
 from ..members import News
 from ..net.hub import Hub, Queue
 from . import books
-from .books import Attempt, Call, Failed, Final, Peer, Refused, Served
+from .books import Attempt, ClientRequest, Failed, Final, Peer, Refused, Served
 from .enginelist import limit_list, update_peers
 from .requestlog import RequestLog
 
 UNREACHABLE_AT = 3  # failed connects in a row, from which an engine counts as unreachable
-MOST_ENGINES = 100_000  # upper bound of the engines in the list where the memory sets none
+MAX_ENGINES = 100_000  # upper bound of the engines in the list where the memory sets none
 EXPIRY_GRACE = 0.03  # seconds after its deadline at which a request without an answer fails here
 
 
@@ -30,7 +26,7 @@
 
     def start(self, attempt: Attempt) -> None: ...
     def cancel(self, attempt: Attempt) -> None: ...
-    def rank(self, attempt: Attempt, priority: int) -> None: ...
+    def set_priority(self, attempt: Attempt, priority: int) -> None: ...
     def probe(self, peer: Peer) -> None: ...
     def retire(self, peer: Peer) -> None: ...
 
@@ -43,16 +39,16 @@
         self.queue = Queue(hub)
         self.gateway = Gateway(settings, seed, time.monotonic())
         self.request_log = RequestLog(hub.events, settings)
-        self.open: dict[str, Call] = {}
+        self.open: dict[str, ClientRequest] = {}
         self.peers: dict[str, Peer] = {}
         self.listed = False
-        self.well = self.taking = True
+        self.healthy = self.accepting = True
         self.closed = False  # the process exits: every request has its answer
         self.faults = 0
-        self.most_engines = MOST_ENGINES  # in the list: it bounds the memory
-        self.tell: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
-        self.kept: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
-        self.fleet: Any = None  # `fleet.feed.Feed`, which counts arrivals and ends
+        self.max_engines = MAX_ENGINES  # in the list: it bounds the memory
+        self.send_gossip: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
+        self.answer_cache: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
+        self.fleet_feed: Any = None  # `fleet.request_feed.RequestFeed`, which counts arrivals and ends
 
     def run(self) -> None:
         """Process events until the process exits."""
@@ -63,10 +59,10 @@
             except Exception:
                 self._fault(f"owner, processing {type(event).__name__}")
                 attempt = getattr(event, "attempt", None)
-                request = getattr(event, "call", None) or getattr(attempt, "call", None)
+                request = getattr(event, "client_request", None) or getattr(attempt, "client_request", None)
                 if request is not None:
                     self._fail_request(request.id, request)
-                if isinstance(event, books.Ended):
+                if isinstance(event, books.AttemptFinished):
                     self._end_attempt(request.id, attempt.peer.engine, api.Outcome.CANCELLED)
 
     def take(self, event: Any) -> None:
@@ -75,14 +71,14 @@
 
     # ---- events ---------------------------------------------------------------------------------------
 
-    def _on_asked(self, asked: books.Asked) -> None:
-        request = asked.call
+    def _on_request_received(self, asked: books.RequestReceived) -> None:
+        request = asked.client_request
         if not request.open:
             return
-        if request.gone:  # its `Left` event follows
+        if request.gone:  # its `ClientLeft` event follows
             request.open = False
             return
-        if self.closed or not self.taking:
+        if self.closed or not self.accepting:
             request.open = False
             request.reply(request, Refused())
             return
@@ -92,48 +88,48 @@
             return
         self.open[request.id] = request
         request.deadline_timer = self.hub.timers.at(request.deadline + EXPIRY_GRACE, self._expire, request)
-        if self.kept is None or not self._find_cached(request):
+        if self.answer_cache is None or not self._find_cached(request):
             self._start_request(request)
 
-    def _find_cached(self, request: Call) -> bool:
+    def _find_cached(self, request: ClientRequest) -> bool:
         """Whether a cached answer ended the request, or it waits for the answer of an equal one."""
-        now = self.kept.clock()
-        found = self.kept.lookup(request, now)
+        now = self.answer_cache.clock()
+        found = self.answer_cache.lookup(request, now)
         if found is None:
             return False
         if isinstance(found, books.Result):
             self._final(request, Served(found))
         else:
-            self.hub.timers.after(found.until - now, self.queue.put, books.Tired(request))
+            self.hub.timers.after(found.until - now, self.queue.put, books.WaitExpired(request))
         return True
 
-    def _on_tired(self, tired: books.Tired) -> None:
-        if self.kept.tired(tired.call) and tired.call.open:
-            self._start_request(tired.call)
+    def _on_wait_expired(self, tired: books.WaitExpired) -> None:
+        if self.answer_cache.tired(tired.client_request) and tired.client_request.open:
+            self._start_request(tired.client_request)
 
-    def _start_request(self, request: Call) -> None:
+    def _start_request(self, request: ClientRequest) -> None:
         if self.closed:
             return  # `_on_closing` has answered it
-        if self.fleet is not None:
-            self.fleet.asked(request)
-        patience = request.deadline - time.monotonic()  # less what it waited here
+        if self.fleet_feed is not None:
+            self.fleet_feed.asked(request)
+        time_budget = request.deadline - time.monotonic()  # less what it waited here
         self._decide(
             api.Request(
                 request.id,
                 request.cls,
-                max(0.0, patience),
+                max(0.0, time_budget),
                 request.tenant,
                 data_set=request.data_set,
-                waited=self.hub.lag(),
+                program_delay=self.hub.lag(),
             )
         )
 
-    def _expire(self, request: Call) -> None:
-        self.queue.put(books.Expired(request))
+    def _expire(self, request: ClientRequest) -> None:
+        self.queue.put(books.DeadlinePassed(request))
 
-    def _on_ended(self, end: books.Ended) -> None:
+    def _on_attempt_finished(self, end: books.AttemptFinished) -> None:
         attempt = end.attempt
-        request, outcome = attempt.call, end.outcome
+        request, outcome = attempt.client_request, end.outcome
         if request.attempt is attempt:
             request.attempt = None
         self._count_connect(attempt.peer, outcome)
@@ -142,10 +138,10 @@
             self.request_log.attempt_ended(attempt, outcome)
         ok = outcome is api.Outcome.OK
         freed = None
-        if self.kept is not None:
-            freed = self.kept.ended(request, end.result if ok else None, self.kept.clock())
-        if ok and self.fleet is not None:
-            self.fleet.ended(end)
+        if self.answer_cache is not None:
+            freed = self.answer_cache.ended(request, end.result if ok else None, self.answer_cache.clock())
+        if ok and self.fleet_feed is not None:
+            self.fleet_feed.ended(end)
         if ok and request.open:
             if now <= request.deadline + EXPIRY_GRACE:
                 self._final(request, Served(end.result))
@@ -157,7 +153,7 @@
                 attempt.number,
                 attempt.peer.engine,
                 outcome,
-                now - attempt.began,
+                now - attempt.began_at,
                 not request.open,
                 end.work,
                 end.memory_mb,
@@ -170,20 +166,22 @@
             for other in freed.go_on:
                 self._start_request(other)
 
-    def _on_note(self, note: books.Noted) -> None:
+    def _on_note(self, note: books.AttemptNoted) -> None:
         attempt = note.attempt
-        if attempt.call.open:
+        if attempt.client_request.open:
             self._decide(
-                api.AttemptNote(attempt.call.id, attempt.number, attempt.peer.engine, note.kind, note.amount)
+                api.AttemptNote(
+                    attempt.client_request.id, attempt.number, attempt.peer.engine, note.kind, note.amount
+                )
             )
 
-    def _on_left(self, left: books.Left) -> None:
-        if left.call.open:
-            self._close(left.call)
-            self._decide(api.ClientGone(left.call.id))
+    def _on_client_left(self, left: books.ClientLeft) -> None:
+        if left.client_request.open:
+            self._close(left.client_request)
+            self._decide(api.ClientGone(left.client_request.id))
 
-    def _on_expired(self, expired: books.Expired) -> None:
-        request = expired.call
+    def _on_deadline_passed(self, expired: books.DeadlinePassed) -> None:
+        request = expired.client_request
         if request.open:
             self.request_log.expired(request)
             self._final(request, Failed("out of time"))
@@ -197,7 +195,7 @@
         elif outcome is api.Outcome.OK:
             peer.failed_connects = 0
 
-    def _on_unfit(self, asked: books.Unfit) -> None:
+    def _on_unhealthy_query(self, asked: books.UnhealthyQuery) -> None:
         engines = self.gateway.fleet.engines
         asked.tell(
             [
@@ -208,18 +206,18 @@
             ]
         )
 
-    def _on_probed(self, end: books.Probed) -> None:
+    def _on_probe_finished(self, end: books.ProbeFinished) -> None:
         self._count_connect(end.peer, end.outcome)
         if end.peer.retired:
             return  # the probe went to the previous process with this id
-        if self.fleet is not None:
-            self.fleet.probed(end)
+        if self.fleet_feed is not None:
+            self.fleet_feed.probed(end)
         self._decide(api.ProbeEnded(end.peer.engine, end.outcome, end.latency, end.report))
 
-    def _on_heard(self, heard: books.Heard) -> None:
+    def _on_gossip_received(self, heard: books.GossipReceived) -> None:
         self._decide(api.PeerMessage(heard.sender, heard.data))
 
-    def _on_due(self, due: books.Due) -> None:
+    def _on_timer_expired(self, due: books.TimerExpired) -> None:
         self._decide(api.TimerDue(due.name))
 
     def _on_closing(self, _: books.Closing) -> None:
@@ -229,7 +227,7 @@
             self._final(request, Failed("ending"))
 
     def _on_news(self, news: News) -> None:
-        news = limit_list(news, self.peers, self.most_engines, self.hub.log)
+        news = limit_list(news, self.peers, self.max_engines, self.hub.log)
         retired = update_peers(news, self.peers)
         for peer in retired:  # all are marked: even after an error here none gets work
             try:
@@ -258,8 +256,7 @@
     # ---- actions --------------------------------------------------------------------------------------
 
     def _decide(self, event: api.Event) -> None:
-        """Pass an event to the decision module and execute its actions. An error there or in an action fails
-        only the request concerned: all other actions are executed."""
+        """Pass an event to the decision module and execute its actions. An error fails only one request."""
         now, broken = time.monotonic(), False
         try:
             actions = self.gateway.handle(now, event)
@@ -274,7 +271,7 @@
                 request_id = getattr(action, "request", None)
                 self._fail_request(request_id, self.open.get(request_id))
                 if isinstance(action, api.Send):
-                    self._end_attempt(request_id, action.engine, api.Outcome.MOOT)
+                    self._end_attempt(request_id, action.engine, api.Outcome.NOT_STARTED)
         if broken:
             request = self.open.get(getattr(event, "request", None))
             if request is not None and request.attempt is None:
@@ -285,7 +282,7 @@
         self.faults += 1
         self.hub.report(what, traceback.format_exc())
 
-    def _fail_request(self, request_id: str | None, request: Call | None) -> None:
+    def _fail_request(self, request_id: str | None, request: ClientRequest | None) -> None:
         """Fail a request after an internal error and end it in the decision module."""
         if request is not None:
             if request.attempt is not None and request.attempt.task is None:
@@ -309,13 +306,13 @@
                     request.priority = priority
                     if request.attempt is not None and request.attempt.priority != priority:
                         request.attempt.priority = priority
-                        self.engines.rank(request.attempt, priority)
+                        self.engines.set_priority(request.attempt, priority)
             case api.Refuse(request_id, retry_after, reason):
                 request = self.open.get(request_id)
                 if request is not None:
                     self.request_log.refused(request, reason)
-                if self.fleet is not None and request is not None:
-                    self.fleet.refused(request)
+                if self.fleet_feed is not None and request is not None:
+                    self.fleet_feed.refused(request)
                 self._final(request, Refused(retry_after))
             case api.Fail(request_id, reason):
                 request = self.open.get(request_id)
@@ -327,17 +324,19 @@
                 if request is not None and request.attempt is not None and request.attempt.number == number:
                     self.engines.cancel(request.attempt)
             case api.SetTimer(delay, name):
-                self.hub.timers.after(delay, self.queue.put, books.Due(name))
+                self.hub.timers.after(delay, self.queue.put, books.TimerExpired(name))
             case api.Probe(engine):
                 self.engines.probe(self.peers[engine])
             case api.Log(text):
                 self.hub.log(text)
-            case api.Tell(data):
-                self.tell(data)
+            case api.SendGossip(data):
+                self.send_gossip(data)
             case api.WatchList():
                 pass  # the list arrives without a subscription
 
-    def _send(self, request: Call, peer: Peer, timeout: float, begin_within: float, now: float) -> None:
+    def _send(
+        self, request: ClientRequest, peer: Peer, timeout: float, begin_within: float, now: float
+    ) -> None:
         until = min(request.deadline, now + timeout) if timeout > 0 else request.deadline
         attempt = Attempt(request, peer, request.attempts_sent, until, request.priority)
         if begin_within > 0:
@@ -347,15 +346,17 @@
         else:
             request.first_sent_at = now
         request.attempts_sent += 1
-        if self.kept is not None:
-            self.kept.sent(request, self.kept.clock())
-        if request.gone:  # nothing is started for it any more, not even a connect; its `Left` event follows
-            self.queue.put(books.Ended(attempt, api.Outcome.MOOT))
+        if self.answer_cache is not None:
+            self.answer_cache.sent(request, self.answer_cache.clock())
+        if (
+            request.gone
+        ):  # nothing is started for it any more, not even a connect; its `ClientLeft` event follows
+            self.queue.put(books.AttemptFinished(attempt, api.Outcome.NOT_STARTED))
             return
         request.attempt = attempt
         self.engines.start(attempt)
 
-    def _final(self, request: Call | None, final: Final) -> None:
+    def _final(self, request: ClientRequest | None, final: Final) -> None:
         """Answer an open request, once, even after an error while closing it. Nothing else answers."""
         if request is not None and request.open:
             try:
@@ -367,7 +368,7 @@
             except Exception:
                 self._fault("owner, answering a request")
 
-    def _close(self, request: Call) -> None:
+    def _close(self, request: ClientRequest) -> None:
         request.open = False
         if self.open.get(request.id) is request:
             del self.open[request.id]
@@ -375,22 +376,22 @@
             request.deadline_timer.cancel()
         if request.attempt is not None:
             self.engines.cancel(request.attempt)
-        if self.kept is not None:
-            for other in self.kept.closed(request, self.kept.clock()):
+        if self.answer_cache is not None:
+            for other in self.answer_cache.closed(request, self.answer_cache.clock()):
                 self._start_request(other)
 
     _handlers = {
-        books.Asked: _on_asked,
-        books.Ended: _on_ended,
-        books.Noted: _on_note,
-        books.Left: _on_left,
-        books.Expired: _on_expired,
-        books.Probed: _on_probed,
-        books.Due: _on_due,
+        books.RequestReceived: _on_request_received,
+        books.AttemptFinished: _on_attempt_finished,
+        books.AttemptNoted: _on_note,
+        books.ClientLeft: _on_client_left,
+        books.DeadlinePassed: _on_deadline_passed,
+        books.ProbeFinished: _on_probe_finished,
+        books.TimerExpired: _on_timer_expired,
         books.Closing: _on_closing,
-        books.Unfit: _on_unfit,
-        books.Heard: _on_heard,
-        books.Tired: _on_tired,
+        books.UnhealthyQuery: _on_unhealthy_query,
+        books.GossipReceived: _on_gossip_received,
+        books.WaitExpired: _on_wait_expired,
         News: _on_news,
         api.ClientGone: _decide,
         api.AttemptEnded: _decide,
--- a/aspenrill/core/requestlog.py
+++ b/aspenrill/core/requestlog.py
@@ -6,7 +6,7 @@
 
 from .. import api
 from ..net.eventlog import EventLog
-from .books import Attempt, Call, Peer
+from .books import Attempt, ClientRequest, Peer
 
 
 class RequestLog:
@@ -19,15 +19,15 @@
         """Log an attempt that ended without an answer."""
         self._events.event(
             "attempt_ended",
-            id=attempt.call.id,
+            id=attempt.client_request.id,
             attempt=attempt.number,
             engine=attempt.peer.engine,
             outcome=outcome.value,
-            age=time.monotonic() - attempt.began,
-            client_gone=attempt.call.gone,
+            age=time.monotonic() - attempt.began_at,
+            client_gone=attempt.client_request.gone,
         )
 
-    def attempt_repeated(self, request: Call, peer: Peer, begin_within: float) -> None:
+    def attempt_repeated(self, request: ClientRequest, peer: Peer, begin_within: float) -> None:
         """Log a further attempt, with the age of the first one and the time in which it must begin."""
         spec = self._settings.classes[request.cls]
         self._events.event(
@@ -42,11 +42,11 @@
             begin_within=begin_within,
         )
 
-    def refused(self, request: Call, reason: api.EndReason | None) -> None:
+    def refused(self, request: ClientRequest, reason: api.EndReason | None) -> None:
         """Log a refusal: a repeat does no harm."""
         self._log_answer("request_refused", request, reason)
 
-    def expired(self, request: Call) -> None:
+    def expired(self, request: ClientRequest) -> None:
         """Log a request without an answer at its deadline: the process was stopped or got no CPU time."""
         self._events.event(
             "request_expired",
@@ -56,11 +56,11 @@
             attempts=request.attempts_sent,
         )
 
-    def failed(self, request: Call, reason: api.EndReason | None) -> None:
+    def failed(self, request: ClientRequest, reason: api.EndReason | None) -> None:
         """Log a failure: the request may have had its effect."""
         self._log_answer("request_failed", request, reason)
 
-    def _log_answer(self, name: str, request: Call, reason: api.EndReason | None) -> None:
+    def _log_answer(self, name: str, request: ClientRequest, reason: api.EndReason | None) -> None:
         self._events.event(
             name,
             id=request.id,
--- a/aspenrill/engines/base.py
+++ b/aspenrill/engines/base.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..api import Outcome
-from ..core.books import Attempt, Ended, Peer
+from ..core.books import Attempt, AttemptFinished, Peer
 from ..net.conn import Connection
 from ..net.connecting import Refused
 from ..net.hub import Closed, Hub, TimedOut
@@ -51,7 +51,7 @@
             attempt.cancelled = True
             attempt.task.interrupt(Cancelled())
 
-    def rank(self, attempt: Attempt, priority: int) -> None:
+    def set_priority(self, attempt: Attempt, priority: int) -> None:
         """Changes the priority of an attempt in flight, if the protocol supports it."""
 
     def retire(self, peer: Peer) -> None:
@@ -67,39 +67,43 @@
         raise NotImplementedError
 
     def _run(self, attempt: Attempt) -> None:
-        end = Ended(attempt, Outcome.ERROR)
+        end = AttemptFinished(attempt, Outcome.ERROR)
         try:
             self._execute(attempt)
         except AttemptEnded as ended:
-            end = Ended(attempt, ended.outcome, **ended.details)
+            end = AttemptFinished(attempt, ended.outcome, **ended.details)
         except Cancelled:
-            end = Ended(attempt, Outcome.MOOT if attempt.asked is None else Outcome.CANCELLED)
+            end = AttemptFinished(
+                attempt, Outcome.NOT_STARTED if attempt.sent_at is None else Outcome.CANCELLED
+            )
         except TimedOut:
-            end = Ended(attempt, Outcome.TIMEOUT)
+            end = AttemptFinished(attempt, Outcome.TIMEOUT)
         finally:
             if end.outcome is Outcome.OK:
                 self.post(end)
             else:
                 self._finish_failed(attempt, end)
 
-    def _finish_failed(self, attempt: Attempt, end: Ended) -> None:
+    def _finish_failed(self, attempt: Attempt, end: AttemptFinished) -> None:
         """Stops a failed attempt and posts its end once the engine no longer works on it.
 
         The end is posted at the request's deadline at the latest: no other attempt can follow then, and the
         client must not wait longer.
         """
         attempt.cancelled, attempt.task.pending = True, None  # no further interrupts
-        if attempt.asked is None:
+        if attempt.sent_at is None:
             self.post(end)
             return
-        posted: list[Ended] = []
+        posted: list[AttemptFinished] = []
 
-        def post_once(event: Ended) -> None:
-            if not posted and (event is end or attempt.call.open):
+        def post_once(event: AttemptFinished) -> None:
+            if not posted and (event is end or attempt.client_request.open):
                 posted.append(event)
                 self.post(event)
 
-        timer = self.hub.timers.at(attempt.call.deadline, post_once, Ended(attempt, Outcome.TIMEOUT))
+        timer = self.hub.timers.at(
+            attempt.client_request.deadline, post_once, AttemptFinished(attempt, Outcome.TIMEOUT)
+        )
         try:
             self._stop_at_engine(attempt)
         finally:
@@ -117,7 +121,7 @@
                 conn = self.pools.take(
                     attempt.peer,
                     min(attempt.until, attempt.begin_by),
-                    recheck=attempt.call.cls not in self.safe,
+                    recheck=attempt.client_request.cls not in self.safe,
                 )
             except Refused as why:
                 broken += why.broken
@@ -125,19 +129,19 @@
                     continue
                 too_late = time.monotonic() >= attempt.begin_by and str(why) != "ECONNREFUSED"
                 not_at_fault = why.exhausted or too_late or not attempt.peer.takes_work
-                raise AttemptEnded(Outcome.MOOT if not_at_fault else Outcome.CONNECT_FAILED) from None
+                raise AttemptEnded(Outcome.NOT_STARTED if not_at_fault else Outcome.CONNECT_FAILED) from None
             if not attempt.wanted:  # the last check before the first byte
                 self.pools.release(attempt.peer, conn)
-                raise AttemptEnded(Outcome.MOOT)
+                raise AttemptEnded(Outcome.NOT_STARTED)
             before = conn.bytes_sent
             try:
                 conn.write_parts(request(), min(attempt.until, time.monotonic() + WRITE_TIMEOUT))
             except (Closed, TimedOut) as why:
                 self.pools.close(conn)
                 if conn.bytes_sent != before:
-                    attempt.asked = attempt.heard = time.monotonic()
+                    attempt.sent_at = attempt.received_at = time.monotonic()
                     if isinstance(why, Closed):
-                        attempt.peer.broke_at = attempt.heard
+                        attempt.peer.lost_at = attempt.received_at
                     return None
                 broken += not conn.reused
                 if broken >= MAX_BROKEN_CONNECTIONS:
@@ -145,8 +149,8 @@
                 continue
             except BaseException:
                 if conn.bytes_sent != before:
-                    attempt.asked = time.monotonic()
+                    attempt.sent_at = time.monotonic()
                 self.pools.close(conn)
                 raise
-            attempt.asked = attempt.heard = time.monotonic()
+            attempt.sent_at = attempt.received_at = time.monotonic()
             return conn
--- a/aspenrill/engines/headers.py
+++ b/aspenrill/engines/headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..settings import FIELDS
+from ..settings import REPORT_FIELDS
 
 
 def parse_load_report(text: str | None, fields: tuple[str, ...]) -> tuple[float, ...] | None:
@@ -13,7 +13,7 @@
     for part in text.split(";"):
         at = part.find(":")
         name = part[:at].strip()
-        name = FIELDS.get(name, name)
+        name = REPORT_FIELDS.get(name, name)
         if at >= 0 and name in fields:
             try:
                 values[name] = float(part[at + 1 :])
--- a/aspenrill/engines/http.py
+++ b/aspenrill/engines/http.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..api import Effect, NoteKind, Outcome, Settings
-from ..core.books import Attempt, Noted, Peer, Probed, Result
+from ..core.books import Attempt, AttemptNoted, Peer, ProbeFinished, Result
 from ..net.address import show
 from ..net.conn import Connection, time_left
 from ..net.connecting import Refused
@@ -55,7 +55,7 @@
         )
         self.settings, self.classes = settings, classes
 
-    def rank(self, attempt: Attempt, priority: int) -> None:
+    def set_priority(self, attempt: Attempt, priority: int) -> None:
         """Changes the priority of an attempt in flight."""
         self.hub.spawn(self._send_priority, attempt, priority, name="priority")
 
@@ -71,13 +71,13 @@
             try:
                 if conn is None:
                     conn = self._reconnect(attempt)
-                    self._send_call(attempt, conn, "GET", f"/data/{attempt.call.id}/0")
+                    self._send_call(attempt, conn, "GET", f"/data/{attempt.client_request.id}/0")
                 head, body = self._receive(attempt, conn)
                 while head.status == 202:
                     share = self._post_note(attempt, head)
                     started = started or bool(share) or head.headers.get("x-remark") == "missing"
                     conn = self._pause(attempt, conn, head, share)
-                    self._send_call(attempt, conn, "GET", f"/data/{attempt.call.id}/0")
+                    self._send_call(attempt, conn, "GET", f"/data/{attempt.client_request.id}/0")
                     head, body = self._receive(attempt, conn)
             except Lost:
                 conn = None
@@ -89,7 +89,7 @@
             if outcome.never_ran and started:  # contradictory responses: it may have run
                 outcome = Outcome.ERROR
             elif outcome.never_ran or head.status == 500:
-                attempt.asked = None  # the engine has ended it: there is nothing to cancel
+                attempt.sent_at = None  # the engine has ended it: there is nothing to cancel
             raise AttemptEnded(outcome)
         result = self._read_pages(attempt, conn, head, body)
         work, memory = header_number(head.headers, "x-spent"), header_number(head.headers, "x-wanted")
@@ -103,18 +103,18 @@
 
     def _count_unreadable(self, attempt: Attempt, why: Malformed) -> None:
         """Counts an unreadable response. The engine still has the result, so it is requested again."""
-        attempt.spoilt += 1
-        attempt.heard = time.monotonic()  # it did respond
-        if attempt.spoilt > MAX_UNREADABLE:
+        attempt.malformed += 1
+        attempt.received_at = time.monotonic()  # it did respond
+        if attempt.malformed > MAX_UNREADABLE:
             raise AttemptEnded(Outcome.ERROR) from None
         raise Lost from why
 
     def _request_parts(self, attempt: Attempt) -> list[bytes]:
         """Returns the request in parts: the head shared by its class, its own headers, and the statement."""
-        call, peer = attempt.call, attempt.peer
-        head = peer.heads.get(call.cls)
+        call, peer = attempt.client_request, attempt.peer
+        head = peer.request_heads.get(call.cls)
         if head is None:
-            head = peer.heads[call.cls] = http1.post_head(
+            head = peer.request_heads[call.cls] = http1.post_head(
                 "/data", self._host(peer), {"X-Queue": self.classes[call.cls]}
             )
         remaining_ms = max(1, int((attempt.until - time.monotonic()) * 1000))
@@ -127,14 +127,14 @@
     def _reconnect(self, attempt: Attempt) -> Connection:
         """Opens another connection for an attempt in flight. Raises AttemptEnded if the engine is gone."""
         while True:
-            if time.monotonic() - attempt.heard > SILENCE_TIMEOUT:
+            if time.monotonic() - attempt.received_at > SILENCE_TIMEOUT:
                 raise AttemptEnded(Outcome.RESET)
             time_left(attempt.until)
             try:
                 return self.pools.take(attempt.peer, attempt.until, fresh=True)
             except Refused as why:
                 if self._process_ended(attempt, why):
-                    attempt.asked = None  # the query has ended with its process
+                    attempt.sent_at = None  # the query has ended with its process
                     raise AttemptEnded(Outcome.RESET) from None
                 self.hub.sleep(0.02)
 
@@ -143,7 +143,7 @@
         """Whether the engine's process has ended. A refusal alone may come from a full backlog while the
         query goes on; if the process has ended, all its connections have broken too."""
         peer = attempt.peer
-        return str(why) == "ECONNREFUSED" and peer.broke_at >= attempt.heard and not peer.idle
+        return str(why) == "ECONNREFUSED" and peer.lost_at >= attempt.received_at and not peer.idle
 
     def _host(self, peer: Peer) -> str:
         return show(peer.address)
@@ -151,7 +151,7 @@
     def _send_call(self, attempt: Attempt, conn: Connection, method: str, path: str) -> None:
         if not conn.is_idle():  # unexpected data after the last response, or end of stream
             if conn.open and conn.peer_closed():
-                attempt.peer.broke_at = time.monotonic()
+                attempt.peer.lost_at = time.monotonic()
             self.pools.check_unexpected(conn)
             self.pools.close(conn)
             raise Lost
@@ -160,11 +160,11 @@
                 http1.request(method, path, self._host(attempt.peer), {}),
                 min(attempt.until, time.monotonic() + WRITE_TIMEOUT),
             )
-            attempt.asked = time.monotonic()
+            attempt.sent_at = time.monotonic()
         except (Closed, TimedOut) as why:
             self._log_lost(attempt, why)
             if isinstance(why, Closed):
-                attempt.peer.broke_at = time.monotonic()
+                attempt.peer.lost_at = time.monotonic()
             self.pools.close(conn)
             time_left(attempt.until)
             raise Lost from None
@@ -185,7 +185,7 @@
                 self._abandon_connection(attempt.peer, conn)
             else:
                 if isinstance(why, Closed):
-                    attempt.peer.broke_at = time.monotonic()
+                    attempt.peer.lost_at = time.monotonic()
                 self.pools.close(conn)
             time_left(attempt.until)
             if isinstance(why, Malformed):
@@ -194,13 +194,13 @@
         except BaseException:
             self._abandon_connection(attempt.peer, conn)
             raise
-        attempt.heard = time.monotonic()
+        attempt.received_at = time.monotonic()
         return head, body
 
     def _log_lost(self, attempt: Attempt, why: Exception) -> None:
         self.hub.events.event(
             "engine_connection_lost",
-            id=attempt.call.id,
+            id=attempt.client_request.id,
             engine=attempt.peer.engine,
             reason=str(why) or type(why).__name__,
         )
@@ -264,7 +264,7 @@
         kind, amount = NOTE_KINDS.get(head.headers.get("x-remark", "")), header_number(head.headers, "x-num")
         if kind is None or amount is None:
             return None
-        self.post(Noted(attempt, kind, amount))
+        self.post(AttemptNoted(attempt, kind, amount))
         if kind is NoteKind.WAITS:
             attempt.state = (time.monotonic(), 0.0)  # the query is waiting: progress counts from here
         return amount if kind is NoteKind.PROGRESS else None
@@ -274,11 +274,11 @@
         if not share:
             return conn
         now = time.monotonic()
-        since, before = attempt.state or (attempt.began, 0.0)
+        since, before = attempt.state or (attempt.began_at, 0.0)
         attempt.state = (now, share)
         if share <= before:
             return conn
-        limit = MAX_LOAD_PAUSE if self.settings.classes[attempt.call.cls].is_load else MAX_PAUSE
+        limit = MAX_LOAD_PAUSE if self.settings.classes[attempt.client_request.cls].is_load else MAX_PAUSE
         pause = min(limit, PAUSE_SHARE * (now - since) * (1 - share) / (share - before), attempt.until - now)
         if pause < MIN_PAUSE:
             return conn
@@ -293,7 +293,7 @@
         """Returns the outcome of an error response; only X-Shed proves that nothing ran."""
         shed = head.headers.get("x-shed") == "1"
         if head.status == 504:
-            return Outcome.MOOT if shed else Outcome.TIMEOUT
+            return Outcome.NOT_STARTED if shed else Outcome.TIMEOUT
         return Outcome.FULL if head.status == 503 and shed else Outcome.ERROR
 
     def _read_pages(self, attempt: Attempt, conn: Connection, head: http1.Head, body: bytes) -> Result:
@@ -303,7 +303,7 @@
             try:
                 if conn is None:
                     conn = self._reconnect(attempt)
-                self._send_call(attempt, conn, "GET", f"/data/{attempt.call.id}/{len(parts)}")
+                self._send_call(attempt, conn, "GET", f"/data/{attempt.client_request.id}/{len(parts)}")
                 head, body = self._receive(attempt, conn, len(parts))
             except Lost:
                 conn = None
@@ -318,13 +318,13 @@
 
     def _stop_at_engine(self, attempt: Attempt) -> None:
         """Sends DELETE until the engine confirms it, its process has ended, or it has dropped the query."""
-        gone_at = attempt.asked + QUERY_DROPPED_AFTER
+        gone_at = attempt.sent_at + QUERY_DROPPED_AFTER
         while True:
             try:
                 self._call(
                     attempt.peer,
                     "DELETE",
-                    f"/data/{attempt.call.id}",
+                    f"/data/{attempt.client_request.id}",
                     time.monotonic() + DELETE_TIMEOUT,
                     valid=ACK_STATUSES,
                 )
@@ -369,13 +369,13 @@
             return head
 
     def _send_priority(self, attempt: Attempt, priority: int) -> None:
-        if attempt.asked is None or attempt.cancelled:
+        if attempt.sent_at is None or attempt.cancelled:
             return  # its request will carry the priority, or it is no longer wanted
         try:
             self._call(
                 attempt.peer,
                 "PUT",
-                f"/data/{attempt.call.id}",
+                f"/data/{attempt.client_request.id}",
                 time.monotonic() + PROBE_TIMEOUT,
                 str(priority).encode(),
                 ACK_STATUSES,
@@ -397,4 +397,4 @@
             outcome = Outcome.RESET
         except Malformed:
             pass
-        self.post(Probed(peer, outcome, time.monotonic() - began, report))
+        self.post(ProbeFinished(peer, outcome, time.monotonic() - began, report))
--- a/aspenrill/engines/pool.py
+++ b/aspenrill/engines/pool.py
@@ -75,7 +75,7 @@
                 if last_queue is not None:
                     self._wake_next(peer)  # pass the wake-up on, it was not needed
                 return conn
-            if peer.dialing >= MAX_DIALS:
+            if peer.connecting >= MAX_DIALS:
                 queue = peer.waiting
             elif self.reached_at.get(peer, 0.0) <= peer.failed_at > time.monotonic() - FAILURE_BACKOFF:
                 self._wake_next(peer)
@@ -159,7 +159,7 @@
             while conn is None:
                 waiter.wait = self.hub.begin_wait()
                 self.count += 1
-                peer.dialing += 1
+                peer.connecting += 1
                 dials.append(
                     self.hub.spawn(self._open, waiter, time.monotonic() + LATE_DIAL_TIMEOUT, name="dial")
                 )
@@ -195,7 +195,7 @@
         return (
             now < until
             and self.count < self.max_connections
-            and peer.dialing < MAX_DIALS
+            and peer.connecting < MAX_DIALS
             and self.reached_at.get(peer, 0.0) > peer.failed_at
         )
 
@@ -215,7 +215,7 @@
         except Abandoned:
             return
         finally:
-            peer.dialing -= 1
+            peer.connecting -= 1
             self.late_dials.pop(waiter, None)
             if conn is None:
                 self._free_slot()
@@ -284,7 +284,7 @@
     def _handle_idle_event(self, peer: Peer, conn: Connection) -> None:
         """Handles an event on an idle connection: end of stream, or unexpected data."""
         if conn.peer_closed():
-            peer.broke_at = time.monotonic()
+            peer.lost_at = time.monotonic()
         else:
             self.check_unexpected(conn)
         self._drop_idle(peer, conn)
@@ -317,7 +317,7 @@
 
     def _wake_next(self, peer: Peer) -> None:
         """Passes an unused or new opportunity on to the longest waiting task."""
-        if peer.waiting and peer.dialing < MAX_DIALS:
+        if peer.waiting and peer.connecting < MAX_DIALS:
             self._wake(peer.waiting, CHECK_AGAIN)
         elif peer.waiting and peer.idle:
             self._wake(peer.waiting, CHECK_AGAIN, lambda waiter: not waiter.fresh)
--- a/aspenrill/engines/tds.py
+++ b/aspenrill/engines/tds.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..api import Outcome
-from ..core.books import Attempt, Peer, Probed, Result
+from ..core.books import Attempt, Peer, ProbeFinished, Result
 from ..net.conn import Connection
 from ..net.connecting import Refused
 from ..net.hub import Closed, Hub, TimedOut
@@ -86,10 +86,10 @@
         self.hub.spawn(self._probe, peer, name="probe")
 
     def _execute(self, attempt: Attempt) -> None:
-        statement = attempt.call.statement.decode("utf-8")
+        statement = attempt.client_request.statement.decode("utf-8")
         conn = self._send_request(attempt, lambda: [tds.packets(tds.SQL_BATCH, tds.sql_batch(statement))])
         if conn is None:
-            attempt.asked = None  # the session and its batch end with the connection
+            attempt.sent_at = None  # the session and its batch end with the connection
             raise AttemptEnded(Outcome.RESET)
         reader = tds.TokenReader(self.max_result_bytes)
         attempt.state = (conn, reader)
@@ -101,7 +101,7 @@
         except Malformed:
             self._drop_connection(attempt)
             raise AttemptEnded(Outcome.ERROR) from None
-        attempt.asked = attempt.state = None
+        attempt.sent_at = attempt.state = None
         self.pools.release(attempt.peer, conn)
         answer = reader.answer
         if answer.error or answer.status & (tds.BAD | tds.SERVER_ERROR):
@@ -113,7 +113,7 @@
 
     def _drop_connection(self, attempt: Attempt) -> None:
         conn, _ = attempt.state
-        attempt.asked = attempt.state = None
+        attempt.sent_at = attempt.state = None
         self.pools.close(conn)
 
     def _stop_at_engine(self, attempt: Attempt) -> None:
@@ -133,7 +133,7 @@
             self.pools.release(attempt.peer, conn)
         except (Closed, TimedOut, Malformed):
             self.pools.close(conn)
-        attempt.asked = attempt.state = None
+        attempt.sent_at = attempt.state = None
 
     def _probe(self, peer: Peer) -> None:
         began, outcome = time.monotonic(), Outcome.OK
@@ -146,4 +146,4 @@
                     continue
                 outcome = Outcome.OK if why.exhausted else Outcome.CONNECT_FAILED
                 break
-        self.post(Probed(peer, outcome, time.monotonic() - began, None))
+        self.post(ProbeFinished(peer, outcome, time.monotonic() - began, None))
--- a/aspenrill/fleet/broadcast.py
+++ b/aspenrill/fleet/broadcast.py
@@ -9,7 +9,7 @@
 from .interface import Effect, Entry, Inform, Member, Put, View
 
 TOPIC = "tell"
-MAX_MESSAGE = 256  # bytes, the limit of `api.Tell`
+MAX_MESSAGE = 256  # bytes, the limit of `api.SendGossip`
 
 
 @dataclass(frozen=True, slots=True)
--- a/aspenrill/fleet/joining.py
+++ b/aspenrill/fleet/joining.py
@@ -45,8 +45,8 @@
     def on_fact(component: str, fact: Any) -> None:
         match fact:
             case BroadcastReceived(sender, data):
-                if node.settings.may_tell:
-                    node.post(books.Heard(sender, data))
+                if node.settings.may_gossip:
+                    node.post(books.GossipReceived(sender, data))
             case Facts():
                 node.fleet_facts = fact
             case _:
@@ -66,14 +66,14 @@
         service.execute(components.purges, components.purges.load(boottime(), news))
         service.dispatch()
 
-    if node.settings.may_tell:
-        node.owner.tell = lambda data: service.execute(broadcast, broadcast.send(data))
-    node.owner.kept = components.answer_cache(on_load)
+    if node.settings.may_gossip:
+        node.owner.send_gossip = lambda data: service.execute(broadcast, broadcast.send(data))
+    node.owner.answer_cache = components.answer_cache(on_load)
     if components.overload is not None or components.groups is not None:
         bridge = Bridge(components.overload) if components.overload is not None else None
         if bridge is not None:
             bridge.started()
-        node.owner.fleet = feed = RequestFeed(node.owner, components, bridge)
+        node.owner.fleet_feed = feed = RequestFeed(node.owner, components, bridge)
         hub.spawn(lambda: _run_feed(hub, service, feed), name="feed")
     node.goodbye = service.leave
 
--- a/aspenrill/fleet/kept/front.py
+++ b/aspenrill/fleet/kept/front.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ...core.books import Call, Result
+from ...core.books import ClientRequest, Result
 from . import scopes
 from .policy import Policy, Rule
 from .store import NEVER, Key, Stamp, Store
@@ -39,21 +39,21 @@
 class Released:
     """Requests released by the end of a fetch: those with an answer, and those to send themselves."""
 
-    served: list[Call] = field(default_factory=list)
-    go_on: list[Call] = field(default_factory=list)
+    served: list[ClientRequest] = field(default_factory=list)
+    go_on: list[ClientRequest] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
 class Fetch:
     """A request whose answer will be cached, and the requests that wait for it."""
 
-    call: Call
+    call: ClientRequest
     key: Key
     rule: Rule
     scopes: tuple[str, ...]
     stamp: Stamp | None = None  # None until it is sent
     sent_at: float = 0.0
-    waiters: dict[str, Call] = field(default_factory=dict)
+    waiters: dict[str, ClientRequest] = field(default_factory=dict)
 
 
 class Kept:
@@ -72,7 +72,7 @@
         self.joined: dict[str, Fetch] = {}  # by id of the waiting request
         self.open_loads: dict[str, tuple[str, ...]] = {}  # scopes of open loads by request id
 
-    def lookup(self, call: Call, now: float) -> Result | Joined | None:
+    def lookup(self, call: ClientRequest, now: float) -> Result | Joined | None:
         """A cached answer; Joined if another request is fetching it; None if the request must be sent."""
         rule = self.policy.rule(call.cls, call.tenant)
         if rule is None or not self.store.serves(now):
@@ -87,7 +87,7 @@
                 return None
             fetch.waiters[call.id] = call
             self.joined[call.id] = fetch
-            return Joined(now + min(self.policy.wait, call.patience / 2))
+            return Joined(now + min(self.policy.wait, call.time_budget / 2))
         groups = scopes.groups_read(call.statement.decode("utf-8", "replace"))
         if groups is not None and len(self.fetches) < MAX_FETCHES:
             fetch_scopes = (scopes.of_class(rule.name), *sorted(map(scopes.of_group, groups)))
@@ -95,7 +95,7 @@
             self.fetches[call.id] = self.joinable[key] = fetch
         return None
 
-    def sent(self, call: Call, now: float) -> None:
+    def sent(self, call: ClientRequest, now: float) -> None:
         """An attempt is about to be sent. A fetch counts from its first attempt, which may answer."""
         fetch = self.fetches.get(call.id)
         if fetch is not None and fetch.stamp is None:
@@ -107,7 +107,7 @@
                 self._report_load(written, ended=True)
             self.open_loads[call.id] = written
 
-    def ended(self, call: Call, result: Result | None, now: float) -> Released:
+    def ended(self, call: ClientRequest, result: Result | None, now: float) -> Released:
         """An attempt has ended: with rows, or without (`result` is None), or with an unknown outcome."""
         if call.cls in self.policy.loads:  # also if its client had its answer long before
             self._report_load(self.open_loads.pop(call.id, None) or _written_scopes(call), ended=True)
@@ -123,7 +123,7 @@
         released.go_on = self._release(fetch)
         return released
 
-    def closed(self, call: Call, now: float) -> list[Call]:
+    def closed(self, call: ClientRequest, now: float) -> list[ClientRequest]:
         """The request has its final answer or its client is gone; the waiting requests to be sent."""
         self.tired(call)
         if call.id in self.open_loads:
@@ -131,7 +131,7 @@
         fetch = self.fetches.get(call.id)
         return self._release(fetch) if fetch is not None else []
 
-    def tired(self, call: Call) -> bool:
+    def tired(self, call: ClientRequest) -> bool:
         """Ends the wait for another's fetch; whether it was waiting and must be sent itself."""
         fetch = self.joined.pop(call.id, None)
         if fetch is None:
@@ -143,7 +143,7 @@
         """The lease is returned: nothing is served from now on."""
         self.store.lease_end = NEVER
 
-    def _release(self, fetch: Fetch) -> list[Call]:
+    def _release(self, fetch: Fetch) -> list[ClientRequest]:
         """Removes a fetch; the open requests that waited for it."""
         waiters = list(fetch.waiters.values())
         fetch.waiters.clear()
@@ -160,7 +160,7 @@
         self.notify(LoadNews(written, ended))
 
 
-def _written_scopes(call: Call) -> tuple[str, ...]:
+def _written_scopes(call: ClientRequest) -> tuple[str, ...]:
     """The scopes that a load may write: all groups that it names, or everything if it names none."""
     groups = scopes.groups_named(call.statement.decode("utf-8", "replace"))
     return tuple(sorted({scopes.of_group(group) for group in groups})) or (scopes.ALL,)
--- a/aspenrill/fleet/request_feed.py
+++ b/aspenrill/fleet/request_feed.py
@@ -10,9 +10,9 @@
 from collections import Counter, deque
 
 from .. import api
-from ..core.books import Call, Ended, Probed
+from ..core.books import AttemptFinished, ClientRequest, ProbeFinished
 from ..core.owner import Owner
-from ..policy.figures import THREADS_A_CORE
+from ..policy.figures import MAX_THREADS_PER_CORE
 from .components import Components
 from .groups.splits import Facts as GroupFacts
 from .overload.bridge import Bridge
@@ -35,21 +35,21 @@
 
     # ---- called by the owner ----------------------------------------------------------------------------
 
-    def asked(self, call: Call) -> None:
+    def asked(self, call: ClientRequest) -> None:
         """A request is passed to the decision module."""
         self._requested[call.cls, call.tenant] += 1
 
-    def refused(self, call: Call) -> None:
+    def refused(self, call: ClientRequest) -> None:
         """A request was refused."""
         self._refused[call.cls, call.tenant] += 1
 
-    def probed(self, end: Probed) -> None:
+    def probed(self, end: ProbeFinished) -> None:
         """A probe has ended."""
         self._probed.append((end.peer.engine, end.outcome is api.Outcome.OK))
 
-    def ended(self, end: Ended) -> None:
+    def ended(self, end: AttemptFinished) -> None:
         """An attempt has succeeded: count what a load has written, by the bytes of its statement."""
-        call, groups = end.attempt.call, self.components.groups
+        call, groups = end.attempt.client_request, self.components.groups
         if groups is None or call.data_set is None or not self.owner.settings.classes[call.cls].is_load:
             return
         groups.count(
@@ -80,7 +80,7 @@
             self.components.groups.tell(
                 now,
                 GroupFacts(
-                    gateway.rung > 0,
+                    gateway.gap_level > 0,
                     len(ejected) > OUTAGE_THRESHOLD * len(gateway.live),
                     tuple(sorted(e.entry.engine for e in gateway.live)),
                 ),
@@ -88,8 +88,8 @@
 
     def _pass_demand(self, now: float) -> None:
         gateway = self.owner.gateway
-        work = [learned.usual_work() for learned in gateway.classes]
-        worth = [learned.spec.worth for learned in gateway.classes]
+        work = [stats.typical_work() for stats in gateway.classes]
+        worth = [stats.spec.worth for stats in gateway.classes]
         for (cls, tenant), count in self._requested.items():
             for _ in range(count):
                 self.bridge.asked(now, cls, tenant, work[cls], worth[cls])
@@ -97,18 +97,18 @@
             self.bridge.on_refused(now, cls, tenant, count * work[cls])
         self._requested.clear()
         self._refused.clear()
-        waiting = {query.ask.cls for query in gateway.held.values()}
+        waiting = {pending.arrival.cls for pending in gateway.queued.values()}
         self.bridge.set_load(
-            sum(learned.threads for learned in gateway.classes),
-            gateway.ordinary,
-            gateway.rung,
+            sum(stats.threads for stats in gateway.classes),
+            gateway.fleet_slowdown,
+            gateway.gap_level,
             max((worth[cls] / max(1e-3, work[cls]) for cls in waiting), default=0.0),
         )
 
     def _pass_engines(self) -> None:
         """Pass on the engine list if it has changed or an engine is no longer cold."""
         gateway, now = self.owner.gateway, time.monotonic()
-        warm = [(e.entry.engine, THREADS_A_CORE * e.cores) for e in gateway.live if now >= e.cold_until]
+        warm = [(e.entry.engine, MAX_THREADS_PER_CORE * e.cores) for e in gateway.live if now >= e.cold_until]
         cold = [e.entry.engine for e in gateway.live if now < e.cold_until]
         if (warm, cold) != self._last_engines:
             self._last_engines = warm, cold
--- a/aspenrill/fronts/tds.py
+++ b/aspenrill/fronts/tds.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..core.books import Asked, Call, Failed, Final, Left, Refused, Result, Served
+from ..core.books import ClientLeft, ClientRequest, Failed, Final, Refused, RequestReceived, Result, Served
 from ..net.conn import Connection
 from ..net.hub import READ, Closed, Hub, Signal
 from ..net.partialbytes import PartialMessageBytes
@@ -94,7 +94,7 @@
         self.service, self.conn = service, conn
         self.login: tds.Login | None = None
         self.mapping: Mapping | None = None
-        self.request: Call | None = None
+        self.request: ClientRequest | None = None
         self.writing = False  # an answer is being written
         self.attention = False  # the answer being written has been cancelled
         self.closing = False  # no further requests are accepted
@@ -144,7 +144,7 @@
             self.conn.busy -= 1
             call.gone = True
             self.conn.unanswered.append(call.id)
-            self.service.post(Left(call))
+            self.service.post(ClientLeft(call))
 
     # ---- reading --------------------------------------------------------------------------------------
 
@@ -228,7 +228,7 @@
             return
         spent = max(self.service.hub.lag(), arrived - self.conn.received_after)
         time_budget = max(0.0, mapping.timeout - spent)
-        self.request = Call(
+        self.request = ClientRequest(
             os.urandom(8).hex(),
             mapping.cls,
             mapping.tenant,
@@ -241,11 +241,11 @@
         )
         self.conn.busy += 1
         self.conn.requests += 1
-        self.service.post(Asked(self.request))
+        self.service.post(RequestReceived(self.request))
 
     # ---- writing --------------------------------------------------------------------------------------
 
-    def _answer(self, call: Call, final: Final) -> None:
+    def _answer(self, call: ClientRequest, final: Final) -> None:
         if self.request is not call:
             return  # cancelled and acknowledged already
         self.request = None
--- a/aspenrill/fronts/thrift.py
+++ b/aspenrill/fronts/thrift.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..core.books import Asked, Call, Failed, Final, Left, Refused, Served
+from ..core.books import ClientLeft, ClientRequest, Failed, Final, Refused, RequestReceived, Served
 from ..net.conn import Connection
 from ..net.hub import Closed, Hub
 from ..net.partialbytes import PartialMessageBytes
@@ -70,7 +70,7 @@
     def __init__(self, service: Service, conn: Connection) -> None:
         self.service, self.conn = service, conn
         self.writer = AnswerWriter(service.hub, conn, service.unread)
-        self.open_requests: dict[int, Call] = {}
+        self.open_requests: dict[int, ClientRequest] = {}
         self.bad_count = self.malformed_count = 0  # messages that are unusable, that cannot be answered
         self.refusing = False  # disconnecting: further calls are refused at once
         self.last_seqid = 0  # sequence number of the last call; they start at 1 and count up
@@ -292,9 +292,9 @@
         self.open_requests[seqid] = call
         self.conn.busy += 1
         self.conn.requests += 1
-        self.service.post(Asked(call))
+        self.service.post(RequestReceived(call))
 
-    def _answer(self, call: Call, final: Final) -> None:
+    def _answer(self, call: ClientRequest, final: Final) -> None:
         seqid = call.tag
         if self.open_requests.get(seqid) is not call:
             return
@@ -323,7 +323,7 @@
         if call is not None:
             self.conn.busy -= 1
             call.gone = True
-            self.service.post(Left(call))
+            self.service.post(ClientLeft(call))
         elif ahead and number > self.last_seqid:
             self.forgotten.add(number)
         else:
@@ -367,7 +367,7 @@
         for call in self.open_requests.values():
             call.gone = True
             self.conn.unanswered.append(call.id)
-            self.service.post(Left(call))
+            self.service.post(ClientLeft(call))
         self.open_requests.clear()
 
 
--- a/aspenrill/fronts/thrift_requests.py
+++ b/aspenrill/fronts/thrift_requests.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..core.books import Call, Final
+from ..core.books import ClientRequest, Final
 from ..wire.sql import table_group
 
 REPLY_MARGIN = 0.1  # seconds of the client's time-out reserved for the delivery of the answer
@@ -31,9 +31,9 @@
         statement: Any,
         arrived: float,
         spent: float,
-        reply: Callable[[Call, Final], None],
+        reply: Callable[[ClientRequest, Final], None],
         tag: int,
-    ) -> Call:
+    ) -> ClientRequest:
         """Returns the request. Raises ValueError that names the invalid field.
 
         `spent`: seconds of its time-out that have passed already.
@@ -59,7 +59,7 @@
             raise ValueError("opkey: cannot be passed on")
         if not statement.strip():
             raise ValueError("body: no statement")
-        return Call(
+        return ClientRequest(
             request_id.decode("ascii"),
             cls,
             tenant,
--- a/aspenrill/gathering.py
+++ b/aspenrill/gathering.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from .core.owner import MOST_ENGINES
+from .core.owner import MAX_ENGINES
 from .members import News
 from .membership.rule import Membership
 from .net.hub import Hub
@@ -27,7 +27,7 @@
         sources: Sources,
         kinds: tuple[str, ...],
         post: Callable[[Any], None],
-        most_engines: int = MOST_ENGINES,
+        most_engines: int = MAX_ENGINES,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.hub, self.kinds, self.sources = hub, kinds, sources
--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from . import api
-from .control import WATCH, shed_after
+from .control import IN_FLIGHT_CHECK_INTERVAL, shed_after
 from .core.books import Closing
 from .core.owner import Owner
 from .engines.base import Engines
@@ -213,11 +213,11 @@
         ended before the last moments. The signal may have waited for as long as this program stood still.
         """
         began = time.monotonic() - self.hub.lag()
-        self.owner.well = False
+        self.owner.healthy = False
         self.hub.log("leaving")
-        kill_at = began + min(max(c.patience for c in self.settings.classes), LONGEST) + KILL_AFTER
+        kill_at = began + min(max(c.time_budget for c in self.settings.classes), LONGEST) + KILL_AFTER
         self.hub.sleep(TAKING)
-        self.owner.taking = False
+        self.owner.accepting = False
         for _, listener in self.fronts:
             listener.stop_accepting()
         self._drained(kill_at - ANSWERED)
@@ -259,7 +259,7 @@
         config.connect_for,
         lambda pools, post: HttpEngines(hub, pools, config.settings, config.classes, post),
     )
-    node.owner.most_engines = config.most_engines
+    node.owner.max_engines = config.most_engines
     gathering = _more_sources(hub, node, sources_file, config.kinds)
     starts = StartTimes(config.most_engines, min(NEWS_DELAY, config.settings.cold_for / 2))
 
@@ -280,9 +280,9 @@
             keyed,
             config.tenants,
             node.post,
-            lambda: node.owner.well,
+            lambda: node.owner.healthy,
             shed_after(config.settings),
-            min(WATCH, config.settings.longest_come_back),
+            min(IN_FLIGHT_CHECK_INTERVAL, config.settings.max_retry_after),
         ),
         "thrift",
     )
@@ -362,4 +362,4 @@
         return None
     from .gathering import Gathering
 
-    return Gathering(hub, found, tuple(kinds), node.post, node.owner.most_engines)
+    return Gathering(hub, found, tuple(kinds), node.post, node.owner.max_engines)
--- a/aspenrill/policy/admission.py
+++ b/aspenrill/policy/admission.py
@@ -33,72 +33,80 @@
     """Decides which requests enter, which wait in the queue and which are refused."""
 
     def _on_request(self, arrival: api.Request) -> None:
-        self.queries[arrival.request] = pending = PendingRequest(
+        self.pending[arrival.request] = pending = PendingRequest(
             arrival, self.now, self.classes[arrival.cls].spec
         )
-        trim(self.arrival_times, self.now - self.set.retry_span).append(self.now)
+        trim(self.arrival_times, self.now - self.settings.retry_span).append(self.now)
         stats = self.classes[arrival.cls]
         # Older requests fade, because the mix of classes may change for good.
         self.mix.add_request(stats, ANSWER_WEIGHT / MIN_ENTRIES, arrival.memory_mb)
-        earned = GOSSIP_RESULT_SHARE * 256 / max(GOSSIP_RESULT_SHARE, self.set.tell_price) / self.set.gateways
+        earned = (
+            GOSSIP_RESULT_SHARE
+            * 256
+            / max(GOSSIP_RESULT_SHARE, self.settings.gossip_price)
+            / self.settings.gateways
+        )
         self.gossip_budget = min(self.gossip_budget + earned, 2 * GOSSIP_COST)
-        if stats.spec.in_order and self.set.key_rest is not None:
+        if stats.spec.in_order and self.settings.key_backoff is not None:
             self.key_queues.append(pending)
-        if arrival.waited > self.shed_after[arrival.cls]:  # it would be answered late
+        if arrival.program_delay > self.shed_after[arrival.cls]:  # it would be answered late
             return self._end(pending, api.EndReason.PROGRAM_BEHIND)
         size = self._relative_cost(pending)
         # With a capacity share there are few entries, and the loss ratio is a rough estimate: at least size 1
         # passes.
-        bypass = max(BYPASS_SIZE * GAP_STEP ** (-2 * self.rung), self.uses_capacity_share)
+        bypass = max(BYPASS_SIZE * GAP_STEP ** (-2 * self.gap_level), self.uses_capacity_share)
         # Without gossip, a class that is under its share passes too.
-        if self.rung and (self.uses_gossip or size > bypass and self._share_credit(arrival.cls) <= 0):
-            small = self.uses_gossip and size < GAP_STEP**-self.rung
+        if self.gap_level and (self.uses_gossip or size > bypass and self._share_credit(arrival.cls) <= 0):
+            small = self.uses_gossip and size < GAP_STEP**-self.gap_level
             if self.now < self.next_entry_at and not small or self.uses_gossip and size > BYPASS_SIZE:
                 # Not counted as a loss: the gap must not react to its own refusals.
                 return self._end(pending, api.EndReason.ENTRY_GAP)
             # With gossip small requests pass the gap but pay for it too.
             cost = self._expected_work(pending) / self.mix.work if self.uses_gossip else size
             self.next_entry_at = (
-                max(self.next_entry_at, self.now) + self.base_gap * GAP_STEP**self.rung * cost
+                max(self.next_entry_at, self.now) + self.base_gap * GAP_STEP**self.gap_level * cost
             )
             self.next_entry_at = min(self.next_entry_at, self.now + WINDOW) if small else self.next_entry_at
         if self.uses_gossip and self._queue_timeout(pending) < 0 and stats.latency:
             return self._end(pending, api.EndReason.TOO_LATE)  # it cannot be answered in time
         self.entry_times.append(self.now)
         self.probe_budget = min(self.probe_budget + self.probes_per_request, 8 * MAX_PROBES)
-        if self.uses_reported_load and arrival.patience > 3 * QUEUE_CHECK_INTERVAL:
+        if self.uses_reported_load and arrival.time_budget > 3 * QUEUE_CHECK_INTERVAL:
             self._probe_candidates(pending)
         if (not pending.probed or self.uses_gossip) and self._start_attempt(pending):
             return
         timeout, rate = self._queue_timeout(pending), len(trim(self.send_times, self.now - WINDOW)) / WINDOW
         length = (
-            sum(q.ask.cls == arrival.cls for q in self.held.values())
+            sum(q.arrival.cls == arrival.cls for q in self.queued.values())
             if self.uses_capacity_share
-            else len(self.held)
+            else len(self.queued)
         )
         if (pending.probed or timeout > 0) and length < max(
             MIN_ENTRIES if self.uses_reported_load else 1, rate * timeout
         ):
-            self.held[arrival.request] = pending
+            self.queued[arrival.request] = pending
         else:
             self._end(pending, api.EndReason.QUEUE_FULL, counted=True)
 
     def _queue_timeout(self, pending: PendingRequest) -> float:
         """Seconds that the request may still wait: the time left to its latency target, less the latency of
         its class (the target stands in until a latency is known)."""
-        stats, spec = self.classes[pending.ask.cls], self.classes[pending.ask.cls].spec
+        stats, spec = self.classes[pending.arrival.cls], self.classes[pending.arrival.cls].spec
         target_at = (
-            pending.arrived_at + spec.aim + spec.aim_stretch * self._expected_work(pending) / spec.threads
+            pending.arrived_at
+            + spec.latency_target
+            + spec.target_per_work * self._expected_work(pending) / spec.threads
         )
         needed = max(
-            stats.latency or spec.aim, self.uses_gossip * self._expected_work(pending) / spec.threads
+            stats.latency or spec.latency_target,
+            self.uses_gossip * self._expected_work(pending) / spec.threads,
         )
         return min(target_at, pending.deadline - 3 * QUEUE_CHECK_INTERVAL) - self.now - needed
 
     def _release(self, expire: bool) -> None:
         """Start queued requests in order of arrival as far as engines take them, and end those timed out."""
         blocked = set()  # slot groups whose requests no engine can take now
-        for pending in list(self.held.values()):
+        for pending in list(self.queued.values()):
             # Where an attempt of a load has ended, only loads of its own group can start.
             group = pending.slot_group
             if not expire and (group in blocked or group[1] is not None and group != self.freed_group):
@@ -123,7 +131,7 @@
         by one, and each change holds for a window."""
         while len(self.entry_times) > MIN_ENTRIES and self.entry_times[0] <= self.now - WINDOW:
             self.entry_times.popleft()
-        total, before = len(self.entry_times), self.rung
+        total, before = len(self.entry_times), self.gap_level
         window = max(WINDOW, self.now - self.entry_times[0]) if total else WINDOW
         if self.now < self.next_gap_check_at:
             return
@@ -139,15 +147,17 @@
         if loss_ratio > LEVEL_DOWN_RATIO:
             self.gap_kept_until = self.now + GAP_HOLD_WINDOWS * window
         if loss_ratio > 1 - 1 / GAP_STEP:
-            if not self.rung:
+            if not self.gap_level:
                 self.base_gap, self.next_entry_at = window / total, self.now
             # The most levels j for which loss_ratio > 1 - GAP_STEP**-j.
             levels = math.floor(-math.log(max(1e-3, 1 - loss_ratio)) / math.log(GAP_STEP))
-            self.rung = min(MAX_PAGING_LEVEL if self.may_page else MAX_LEVEL, self.rung + max(1, levels))
-        elif self.rung and (loss_ratio < LEVEL_DOWN_RATIO or self.now > self.gap_kept_until):
-            self.rung = self.rung - 1 if self.now <= self.gap_kept_until else 0
-        if self.rung != before:
+            self.gap_level = min(
+                MAX_PAGING_LEVEL if self.may_page else MAX_LEVEL, self.gap_level + max(1, levels)
+            )
+        elif self.gap_level and (loss_ratio < LEVEL_DOWN_RATIO or self.now > self.gap_kept_until):
+            self.gap_level = self.gap_level - 1 if self.now <= self.gap_kept_until else 0
+        if self.gap_level != before:
             self.next_gap_check_at = self.now + (
-                window / 2 if self.may_page and self.rung > before else window
+                window / 2 if self.may_page and self.gap_level > before else window
             )
-            self.actions.append(api.Log(f"entry gap level {self.rung}, loss ratio {loss_ratio:.2f}"))
+            self.actions.append(api.Log(f"entry gap level {self.gap_level}, loss ratio {loss_ratio:.2f}"))
--- a/aspenrill/policy/choice.py
+++ b/aspenrill/policy/choice.py
@@ -4,7 +4,7 @@
 
 from .. import api
 from ..state import Engine, PendingRequest
-from .figures import JAMMED_LOAD, MAX_CANDIDATES, PRESSURE_SLOWDOWN, THREADS_A_CORE, WINDOW
+from .figures import JAMMED_LOAD, MAX_CANDIDATES, MAX_THREADS_PER_CORE, PRESSURE_SLOWDOWN, WINDOW
 
 # Factor on an engine's thread limit for short work, where engines heed priorities.
 SHORT_HEADROOM = 2.0
@@ -29,25 +29,25 @@
 
     def _expected_work(self, pending: PendingRequest) -> float:
         """Core-seconds: the estimate, corrected by earlier answers, else the typical work of the class."""
-        stats = self.classes[pending.ask.cls]
-        return (pending.ask.work or 0.0) * (stats.work_scale or 0.0) or stats.usual_work()
+        stats = self.classes[pending.arrival.cls]
+        return (pending.arrival.work or 0.0) * (stats.work_scale or 0.0) or stats.typical_work()
 
     def _relative_cost(self, pending: PendingRequest) -> float:
         """Work per worth over the mean of the classes. Below 1 a request counts as short and worthy."""
         return (
             self._expected_work(pending)
-            / max(1e-3, self.classes[pending.ask.cls].spec.worth)
+            / max(1e-3, self.classes[pending.arrival.cls].spec.worth)
             / self.mix.work_per_worth
         )
 
     def _has_headroom(self, engine: Engine, pending: PendingRequest, fits: bool) -> bool:
         """Whether the engine may take one more attempt. The limit by cores and gateways applies under
         pressure only; with probes, an engine under pressure takes short work alone."""
-        spec = self.classes[pending.ask.cls].spec
-        if spec.is_load and engine.loads.get(pending.ask.data_set):
+        spec = self.classes[pending.arrival.cls].spec
+        if spec.is_load and engine.loads.get(pending.arrival.data_set):
             return False  # it would wait there, and slow down the load that holds the group
         full, short = self.now < engine.full_until, self._relative_cost(pending) < 1
-        own = spec.threads / (THREADS_A_CORE * engine.cores)
+        own = spec.threads / (MAX_THREADS_PER_CORE * engine.cores)
         fresh = not full and self.now < engine.load_at + WINDOW
         pressed = full or fresh and engine.load + own > PRESSED_LOAD
         if self.uses_reported_load:
@@ -59,29 +59,29 @@
             return not full and not jammed
         if self.uses_capacity_share:
             return not full and (self.now < engine.cold_until or fits)
-        limit = THREADS_A_CORE * engine.cores  # own threads beyond it are pressure by themselves
+        limit = MAX_THREADS_PER_CORE * engine.cores  # own threads beyond it are pressure by themselves
         # A report of other gateways' threads: each gateway takes its share of what none of them uses.
         if reported := fresh and engine.other_threads is not None:
-            limit *= 1.0 if self.set.priorities_heeded else EQUAL_PRIORITY_HEADROOM
-            limit += max(0.0, engine.own_threads * (self.set.gateways - 1) - engine.other_threads)
-        if reported or pressed or self.ordinary > PRESSURE_SLOWDOWN:
-            limit /= self.set.gateways
-        if self.set.priorities_heeded and short and not full:
+            limit *= 1.0 if self.settings.honors_priorities else EQUAL_PRIORITY_HEADROOM
+            limit += max(0.0, engine.own_threads * (self.settings.gateways - 1) - engine.other_threads)
+        if reported or pressed or self.fleet_slowdown > PRESSURE_SLOWDOWN:
+            limit /= self.settings.gateways
+        if self.settings.honors_priorities and short and not full:
             limit *= SHORT_HEADROOM
         return not engine.threads or engine.threads + spec.threads <= limit
 
     def _fits_share(self, pending: PendingRequest) -> bool:
         """Whether the request fits within this gateway's thread limit at all warm engines together. Threads
         that a class under its share waits for count as taken."""
-        stats, reserved = self.classes[pending.ask.cls], 0
-        own, urgent = stats.spec.threads, self._relative_cost(pending) < 1 and self.set.priorities_heeded
+        stats, reserved = self.classes[pending.arrival.cls], 0
+        own, urgent = stats.spec.threads, self._relative_cost(pending) < 1 and self.settings.honors_priorities
         warm = sum(
-            self.classes[q.ask.cls].spec.threads
-            for q in self.out.values()
+            self.classes[q.arrival.cls].spec.threads
+            for q in self.in_flight.values()
             if q.engine.entry.state is api.EngineState.LIVE and self.now >= q.engine.cold_until
         )
-        if self.held and self._share_credit(pending.ask.cls) <= 0:
-            others = {q.ask.cls for q in self.held.values()} - {pending.ask.cls}
+        if self.queued and self._share_credit(pending.arrival.cls) <= 0:
+            others = {q.arrival.cls for q in self.queued.values()} - {pending.arrival.cls}
             reserved = max(
                 (self.classes[c].spec.threads for c in others if self._share_credit(c) > 0), default=0
             )
@@ -97,9 +97,9 @@
     def _thread_limit(self) -> float:
         """Threads for all warm engines together, with a capacity share; more while the fleet is not slow."""
         return (
-            THREADS_A_CORE
+            MAX_THREADS_PER_CORE
             * self.capacity_share
-            * max(1.0, PRESSURE_SLOWDOWN / self.ordinary) ** IDLE_EXPONENT
+            * max(1.0, PRESSURE_SLOWDOWN / self.fleet_slowdown) ** IDLE_EXPONENT
         )
 
     def _share_credit(self, cls: int) -> float:
@@ -127,7 +127,7 @@
             e for e in pending.probed if e.load_at >= pending.probed_at or self.uses_gossip
         ]
         candidates = answered + cold if answered else candidates
-        spec, best, best_load = self.classes[pending.ask.cls].spec, None, (math.inf, 0.0)
+        spec, best, best_load = self.classes[pending.arrival.cls].spec, None, (math.inf, 0.0)
         for engine in candidates:
             if (
                 not engine.healthy
@@ -141,10 +141,10 @@
             if self.uses_reported_load and self.now >= engine.cold_until:  # slots limit the cold ones already
                 load += self._estimated_load(engine) if self.uses_gossip else engine.load
             elif self.readers_wait_for_loads and not self.uses_reported_load:
-                place = self.fleet.order(pending.ask.data_set).index(engine) / len(self.live)
+                place = self.fleet.affinity_order(pending.arrival.data_set).index(engine) / len(self.live)
                 load += AFFINITY_WEIGHT * (1 - place if spec.is_load else place)
                 load += BLOCKED_LOAD * (
-                    spec.waits_for_loads and engine.readers_blocked(pending.ask.data_set, self.now)
+                    spec.waits_for_loads and engine.readers_blocked(pending.arrival.data_set, self.now)
                 )
             # Gateways that all see the same cores must choose at random, or they choose the same engines.
             if self.uses_capacity_share:
--- a/aspenrill/policy/figures.py
+++ b/aspenrill/policy/figures.py
@@ -5,7 +5,7 @@
 # Seconds for which an engine that refused work as full gets no more.
 FULL_INTERVAL = 1.0
 # Own threads per core under pressure; engines with many threads begin to lose work near this value.
-THREADS_A_CORE = 1.7
+MAX_THREADS_PER_CORE = 1.7
 # The fleet counts as under pressure above this slowdown (latency over the latency without contention).
 PRESSURE_SLOWDOWN = 1.7
 # An attempt is overdue after this many times its expected latency.
@@ -21,4 +21,4 @@
 # Seconds between two checks of the queue.
 QUEUE_CHECK_INTERVAL = 0.05
 # Seconds between two checks of the attempts in flight. A timer that is later still means a stalled process.
-WATCH = 0.25
+IN_FLIGHT_CHECK_INTERVAL = 0.25
--- a/aspenrill/policy/outcomes.py
+++ b/aspenrill/policy/outcomes.py
@@ -27,16 +27,22 @@
 
     def _on_outcome(self, pending: PendingRequest, end: api.AttemptEnded) -> None:
         engine = pending.engine
-        del engine.out[end.request]
+        del engine.in_flight[end.request]
         self._count_attempt(pending, engine, -1)
         pending.engine, self.freed_group = None, pending.slot_group
         pending.record_run(engine, not end.outcome.never_ran)
-        if end.outcome.may_still_run and pending.ask.key is not None and self.set.key_rest is not None:
+        if (
+            end.outcome.may_still_run
+            and pending.arrival.key is not None
+            and self.settings.key_backoff is not None
+        ):
             self.key_backoff_until = {k: t for k, t in self.key_backoff_until.items() if t > self.now}
-            self.key_backoff_until[pending.ask.key] = self.now + self.set.key_rest
+            self.key_backoff_until[pending.arrival.key] = self.now + self.settings.key_backoff
         # It began too late for its slot at a cold engine: the next slot comes at a random moment.
-        if end.outcome is api.Outcome.MOOT and pending.time_to_begin(self.now):
-            engine.cold_slots[pending.ask.cls] = self.now + self.random.random() * self.set.fall_window
+        if end.outcome is api.Outcome.NOT_STARTED and pending.time_to_begin(self.now):
+            engine.cold_slots[pending.arrival.cls] = (
+                self.now + self.random.random() * self.settings.fall_window
+            )
         self._update_stats(pending, engine, end)
         if end.outcome is api.Outcome.FULL:
             self.loss_times.append(self.now)
@@ -54,7 +60,7 @@
             and self.live
             and self._may_repeat(pending, pending.ran_on or self.live[0])
         ):
-            self.held = {end.request: pending, **self.held}  # it arrived before those that are queued
+            self.queued = {end.request: pending, **self.queued}  # it arrived before those that are queued
             if self.uses_reported_load:
                 self._probe_candidates(pending)
         else:
@@ -62,14 +68,14 @@
 
     def _update_stats(self, pending: PendingRequest, engine: Engine, end: api.AttemptEnded) -> None:
         """Update what is known of the engine, the class and the fleet from the end of an attempt."""
-        stats, arrival = self.classes[pending.ask.cls], pending.ask
+        stats, arrival = self.classes[pending.arrival.cls], pending.arrival
         failed = end.outcome in (api.Outcome.ERROR, api.Outcome.CONNECT_FAILED, api.Outcome.RESET)
         if (
             failed
         ):  # more often the fault of the request or of one connection than of the engine: probe it first
             engine.consecutive_failures += 1
             if (
-                not self.set.may_probe
+                not self.settings.may_probe
                 or engine.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
                 or not self._probe(engine)
             ):
@@ -82,7 +88,7 @@
             slowdown = (
                 ERROR_SLOWDOWN * self._slowdown(engine)
                 if failed
-                else end.latency / pending.expected_latency * self.ordinary
+                else end.latency / pending.expected_latency * self.fleet_slowdown
             )
             engine.recent_slowdown, engine.recent_slowdown_at = (
                 min(MAX_SLOWDOWN, max(self._slowdown(engine), slowdown)),
@@ -92,7 +98,8 @@
             return
         # A restart that ended in time shows that the plan was bad, not the request long: the credit returns.
         proved = (
-            pending.restarted and end.latency <= OVERDUE_FACTOR * pending.expected_latency * self.ordinary
+            pending.restarted
+            and end.latency <= OVERDUE_FACTOR * pending.expected_latency * self.fleet_slowdown
         )
         stats.restart_credit = min(
             MAX_RESTART_CREDIT, stats.restart_credit + RESTART_CREDIT_STEP + 2.0 * proved
@@ -113,7 +120,7 @@
             if self.uses_capacity_share
             else ANSWER_WEIGHT
         )
-        self.ordinary = max(1.0, running_mean(self.ordinary, slowdown, weight))
+        self.fleet_slowdown = max(1.0, running_mean(self.fleet_slowdown, slowdown, weight))
         if self.uses_capacity_share:
             engine.recent_slowdown, engine.recent_slowdown_at = (
                 running_mean(self._slowdown(engine), slowdown, SLOWDOWN_WEIGHT),
@@ -126,7 +133,7 @@
             return
         pending.record_run(pending.engine, True)  # it runs, whatever its end may say
         pending.spilled |= note.kind is api.NoteKind.SPILLS
-        stats, slow_plan, blocked = self.classes[pending.ask.cls], False, False
+        stats, slow_plan, blocked = self.classes[pending.arrival.cls], False, False
         if note.kind is api.NoteKind.PROGRESS and note.amount > 0:
             left = (self.now - pending.sent_at) * (1 - note.amount) / note.amount
             may_restart = (
@@ -134,12 +141,12 @@
                 and stats.restart_credit >= 1.0
                 and stats.spec.effect is not api.Effect.UNSAFE
             )
-            slow_plan = may_restart and left > OVERDUE_FACTOR * pending.expected_latency * self.ordinary
+            slow_plan = may_restart and left > OVERDUE_FACTOR * pending.expected_latency * self.fleet_slowdown
         elif note.kind is api.NoteKind.WAITS and note.amount == WAITS_FOR_LOAD:
-            pending.engine.mark_blocked(pending.ask.data_set, self.now)
+            pending.engine.mark_blocked(pending.arrival.data_set, self.now)
             first = len(pending.attempts) == 1 and self._queue_timeout(pending) > 0
             blocked = first and stats.spec.effect is api.Effect.SAFE
-        if (slow_plan or blocked) and self.set.may_cancel and self._may_repeat(pending, pending.engine):
+        if (slow_plan or blocked) and self.settings.may_cancel and self._may_repeat(pending, pending.engine):
             pending.restarted, stats.restart_credit = (
                 pending.restarted or slow_plan,
                 stats.restart_credit - slow_plan,
--- a/aspenrill/roster/discovery.py
+++ b/aspenrill/roster/discovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from ..core.books import Unfit
+from ..core.books import UnhealthyQuery
 from ..members import Member, News
 from ..membership.rule import Membership
 from ..net.hub import Hub
@@ -126,7 +126,7 @@
             and time.monotonic() >= self._health_polled_at + HEALTH_POLL_INTERVAL
         ):
             self._health_polled_at = time.monotonic()
-            self.post(Unfit(self._mark_unhealthy))
+            self.post(UnhealthyQuery(self._mark_unhealthy))
         self.membership.tick(self.clock())
         self.publish_changes()
 
--- a/aspenrill/settings.py
+++ b/aspenrill/settings.py
@@ -8,7 +8,7 @@
 
 NS = 1_000_000_000
 EFFECTS = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
-FIELDS = {"concurrent": "inflight", "depth": "queue", "load_share": "util"}
+REPORT_FIELDS = {"concurrent": "inflight", "depth": "queue", "load_share": "util"}
 
 
 def settings_from(info: dict[str, Any]) -> api.Settings:
@@ -34,12 +34,12 @@
     waits_for_loads = per_class("waits_for_loads", False)
     classes = tuple(
         api.QueryClass(
-            aim=seconds(c, "on_time_ns"),
-            patience=seconds(c, "give_up_ns"),
+            latency_target=seconds(c, "on_time_ns"),
+            time_budget=seconds(c, "give_up_ns"),
             effect=EFFECTS[c["effect"]],
             worth=c.get("value", 1.0),
             late_worth=c.get("late_share", 0.0),
-            aim_stretch=c.get("aim_stretch", 0.0),
+            target_per_work=c.get("aim_stretch", 0.0),
             dedup_scope=c.get("dedup_scope", "all"),
             dedup_window=seconds(c, "window_ns"),
             in_order=bool(c.get("in_order", False)),
@@ -57,26 +57,26 @@
         cores_by_kind=tuple(family.get("cores_by_kind") or [1] * len(info.get("kinds") or [1])),
         memory_by_kind=tuple(family.get("kind_memory_mb") or ()),
         gateways=info.get("group_size", 1),
-        me=info.get("me", 0),
-        most_attempts=limits.get("most_tries", 1),
+        gateway_index=info.get("me", 0),
+        max_attempts=limits.get("most_tries", 1),
         may_cancel=bool(limits.get("cancel")),
         may_probe=bool(limits.get("may_probe")),
-        may_tell=bool(limits.get("peers")),
-        tell_price=prices.get("peer", 0.0),
+        may_gossip=bool(limits.get("peers")),
+        gossip_price=prices.get("peer", 0.0),
         probe_price=prices.get("probe", 0.0),
         shortage_pages=family.get("on_shortage") == "page",
-        longest_come_back=seconds(limits, "max_retry_after_ns"),
-        grants_heeded=bool(family.get("grants_count")),
-        largest_grant=family.get("grant_cap", 1.0),
-        priorities_heeded=bool(family.get("lanes_count")),
-        costs_told=bool(family.get("says_cost")),
-        ask_for_list=info.get("discovery") == "ask",
-        report_fields=tuple(FIELDS.get(f, f) for f in stats.get("fields") or ()),
+        max_retry_after=seconds(limits, "max_retry_after_ns"),
+        honors_grants=bool(family.get("grants_count")),
+        max_grant=family.get("grant_cap", 1.0),
+        honors_priorities=bool(family.get("lanes_count")),
+        reports_work=bool(family.get("says_cost")),
+        subscribe_to_list=info.get("discovery") == "ask",
+        report_fields=tuple(REPORT_FIELDS.get(f, f) for f in stats.get("fields") or ()),
         start_capacity=rules.get("start_capacity", 1.0),
         cold_for=seconds(rules, "cold_ns"),
         fall_multiple=rules.get("fall_multiple", 0.0),
         fall_window=seconds(rules, "fall_ns"),
-        key_rest=seconds(rules, "turn_gap_ns") if "turn_gap_ns" in rules else None,
+        key_backoff=seconds(rules, "turn_gap_ns") if "turn_gap_ns" in rules else None,
         retry_free=rules.get("budget_free", 0) if has_retry_budget else None,
         retry_ratio=rules.get("repeat_ratio", 0.0) if has_retry_budget else None,
         retry_span=seconds(rules, "ratio_span_ns"),
--- a/aspenrill/sidecar.py
+++ b/aspenrill/sidecar.py
@@ -53,7 +53,7 @@
         lambda pools, post: TdsEngines(hub, pools, post, app.answer_bytes),
         logging_in(app.user, app.app),
     )
-    gathering, service = Gathering(hub, app.sources, app.kinds, node.post, node.owner.most_engines), None
+    gathering, service = Gathering(hub, app.sources, app.kinds, node.post, node.owner.max_engines), None
     if app.enabled:
         service = tds.Service(hub, app.logins, node.post, app.name)
         node.listen(app.listen, service, "tds")
--- a/aspenrill/state.py
+++ b/aspenrill/state.py
@@ -51,13 +51,13 @@
     def __init__(self, spec: api.QueryClass) -> None:
         self.spec, self.latency, self.work, self.work_scale = spec, None, None, None
         # Work until an answer shows it. The target may be zero, where all of it depends on the work.
-        self.initial_work = max(1e-3, spec.aim) * spec.threads
+        self.initial_work = max(1e-3, spec.latency_target) * spec.threads
         self.typical_memory = 0.0  # in MB
         self.threads = 0  # in flight
         self.credit, self.credit_at = 0.0, 0.0  # thread-seconds of its share not used, and when computed
         self.restart_credit = 4.0  # restarts of requests that seem to have a bad plan
         self.memory_factor, self.memory_steps = 1.0, 0  # memory needed over the estimate; steps taken
-        self.requested_work = self.usual_work()  # decays; only its share among the classes counts
+        self.requested_work = self.typical_work()  # decays; only its share among the classes counts
 
     def record_answer(
         self, latency: float, estimate: float | None, reported: float | None
@@ -87,17 +87,17 @@
     def update_credit(self, now: float, share: float, debt: float) -> float:
         """Thread-seconds not used of a share of `share` threads, between one typical request and minus `debt`
         typical requests."""
-        limit, unused = self.usual_work(), (share - self.threads) * (now - self.credit_at)
+        limit, unused = self.typical_work(), (share - self.threads) * (now - self.credit_at)
         self.credit, self.credit_at = max(-debt * limit, min(limit, self.credit + unused)), now
         return self.credit
 
     def conservative_work(self) -> float:
         """Core-seconds of a typical request, on the high side: until an answer shows it, between the latency
         target and the time budget, because a target that grows with the work says little of the work."""
-        limit = self.spec.threads * math.sqrt(self.spec.aim * self.spec.patience)
-        return self.work if self.work is not None else max(self.usual_work(), limit)
+        limit = self.spec.threads * math.sqrt(self.spec.latency_target * self.spec.time_budget)
+        return self.work if self.work is not None else max(self.typical_work(), limit)
 
-    def usual_work(self) -> float:
+    def typical_work(self) -> float:
         """Core-seconds of a typical request; until an answer shows it, by the latency target."""
         return self.work if self.work is not None else self.initial_work
 
@@ -114,7 +114,7 @@
         stats.typical_memory = memory * ANSWER_WEIGHT + stats.typical_memory * (1 - ANSWER_WEIGHT)
         for other in self.classes:
             other.requested_work *= 1 - fade
-        stats.requested_work += stats.usual_work()
+        stats.requested_work += stats.typical_work()
         self.update()
 
     def update(self) -> None:
@@ -127,7 +127,7 @@
         if self._work_per_worth is None:
             total = 0.0
             for c in self.classes:
-                total += c.usual_work() / max(1e-3, c.spec.worth)
+                total += c.typical_work() / max(1e-3, c.spec.worth)
             self._work_per_worth = max(1e-6, total / len(self.classes))
         return self._work_per_worth
 
@@ -137,17 +137,18 @@
         return worth[self.classes.index(stats)] / max(1e-9, sum(worth))
 
     def _request_counts(self) -> list[float]:
-        return [c.requested_work / c.usual_work() for c in self.classes]
+        return [c.requested_work / c.typical_work() for c in self.classes]
 
     def _in_flight_weights(self) -> list[float]:
         return [
-            n * (c.latency or c.spec.aim) for n, c in zip(self._request_counts(), self.classes, strict=True)
+            n * (c.latency or c.spec.latency_target)
+            for n, c in zip(self._request_counts(), self.classes, strict=True)
         ]
 
     @property
     def work(self) -> float:
         """Mean work of the requests that arrive."""
-        return weighted_mean([c.usual_work() for c in self.classes], self._request_counts())
+        return weighted_mean([c.typical_work() for c in self.classes], self._request_counts())
 
     @property
     def threads(self) -> float:
@@ -162,7 +163,9 @@
     @property
     def latency(self) -> float:
         """Mean latency of the requests in flight."""
-        return weighted_mean([c.latency or c.spec.aim for c in self.classes], self._in_flight_weights())
+        return weighted_mean(
+            [c.latency or c.spec.latency_target for c in self.classes], self._in_flight_weights()
+        )
 
 
 class Engine:
@@ -171,7 +174,7 @@
     def __init__(self, entry: api.EngineEntry, cores: int, memory: float, now: float) -> None:
         self.entry, self.cores, self.memory = entry, cores, memory
         self.gossip_tag = (zlib.crc32(entry.engine.encode()) & 0xFFFF).to_bytes(2, "big")
-        self.out: dict[str, PendingRequest] = {}  # attempts in flight, by request
+        self.in_flight: dict[str, PendingRequest] = {}  # attempts in flight, by request
         self.threads = 0
         self.share = 1.0  # by weight, against the mean of its tier
         self.loads: dict[int | None, int] = {}  # own loads in flight, by the group that they block
@@ -225,7 +228,7 @@
     __slots__ = (
         "spec",
         "slot_group",
-        "ask",
+        "arrival",
         "arrived_at",
         "deadline",
         "attempts",
@@ -249,7 +252,7 @@
         self.spec = spec
         # A slot that one request of a group can use, the others can use too.
         self.slot_group = (arrival.cls, arrival.data_set if spec.is_load else None)
-        self.ask, self.arrived_at, self.deadline = arrival, now, now + arrival.patience
+        self.arrival, self.arrived_at, self.deadline = arrival, now, now + arrival.time_budget
         self.attempts: list[str] = []  # the engine of each attempt
         self.dedup_until = math.inf  # keyed: until when engines recognize a repeat of what may have run
         self.begin_by = math.inf  # the last moment for the first byte of the last attempt
@@ -311,7 +314,7 @@
         self.engines = {
             name: engine
             for name, engine in self.engines.items()
-            if engine.out or engine.entry.state is not api.EngineState.GONE
+            if engine.in_flight or engine.entry.state is not api.EngineState.GONE
         }
         self.gossip_tags = {}
         for engine in self.engines.values():  # a tag that two engines share identifies neither
@@ -341,7 +344,7 @@
         found = [(self.gossip_tags.get(data[at : at + 2]), data[at + 2]) for at in range(0, len(data) - 2, 3)]
         return [(e, math.inf if level == 255 else level / 32) for e, level in found if e is not None]
 
-    def order(self, data_set: int | None) -> list[Engine]:
+    def affinity_order(self, data_set: int | None) -> list[Engine]:
         """The live engines in the order for this data set, the same at every gateway: ties go by name."""
         if data_set not in self.affinity_orders:
             if len(self.affinity_orders) > MAX_AFFINITY_ORDERS:  # clients choose the names of data sets
@@ -364,18 +367,18 @@
 
     def append(self, pending: PendingRequest) -> None:
         """Append a request to the queue of its key, if it has a key."""
-        if pending.ask.key is not None:
-            self.by_key.setdefault(pending.ask.key, deque()).append(pending)
+        if pending.arrival.key is not None:
+            self.by_key.setdefault(pending.arrival.key, deque()).append(pending)
             pending.in_key_queue = True
 
     def is_first(self, pending: PendingRequest) -> bool:
         """Whether the request is the first of its key."""
-        return self.by_key[pending.ask.key][0] is pending
+        return self.by_key[pending.arrival.key][0] is pending
 
     def remove(self, pending: PendingRequest) -> None:
         """Remove a request from the queue of its key, if it is in one."""
         if pending.in_key_queue:
             pending.in_key_queue = False
-            self.by_key[pending.ask.key].remove(pending)
-            if not self.by_key[pending.ask.key]:
-                del self.by_key[pending.ask.key]
+            self.by_key[pending.arrival.key].remove(pending)
+            if not self.by_key[pending.arrival.key]:
+                del self.by_key[pending.arrival.key]
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -98,7 +98,7 @@
 def measure_in_process(path: str) -> dict[str, float]:
     """Build the node and measure; runs in a process of its own."""
     from aspenrill import api, start  # noqa: F401 (as the program: all imports come first)
-    from aspenrill.core.books import Asked, Call, Ended
+    from aspenrill.core.books import AttemptFinished, ClientRequest, RequestReceived
     from aspenrill.members import News
     from aspenrill.net.hub import Hub
     from aspenrill.node import platform
@@ -123,7 +123,7 @@
         def cancel(self, attempt: Any) -> None:
             """Do nothing: attempts end at once."""
 
-        rank = probe = retire = cancel
+        set_priority = probe = retire = cancel
 
     owner.engines = engines = ImmediateEngines()
 
@@ -135,7 +135,7 @@
     def send_request(at: int) -> None:
         cls = at % 20 // 15 + (at % 20 == 19)
         now = time.monotonic()
-        call = Call(
+        call = ClientRequest(
             f"{at:016x}",
             cls,
             0,
@@ -146,9 +146,9 @@
             CLASSES[cls][3],
             lambda _, final: finals.update((type(final).__name__,)),
         )
-        owner.take(Asked(call))
+        owner.take(RequestReceived(call))
         while engines.out:
-            owner.take(Ended(engines.out.pop(), api.Outcome.OK, None, 0.2, 1.0))
+            owner.take(AttemptFinished(engines.out.pop(), api.Outcome.OK, None, 0.2, 1.0))
 
     def median_cpu(action: Any, times: int) -> float:
         cpu_times = []
--- a/standins/fleetsim.py
+++ b/standins/fleetsim.py
@@ -103,7 +103,7 @@
 
     def new_gateway(self, me: int) -> Gateway:
         """Create a gateway that knows nothing but the current engine list."""
-        gateway = Gateway(replace(self.settings, me=me), self.random.randrange(2**31), self.now)
+        gateway = Gateway(replace(self.settings, gateway_index=me), self.random.randrange(2**31), self.now)
         update = ListUpdate(ListMode.REMEMBERED, tuple(e.entry for e in self.engines.values()))
         gateway.handle(self.now, update)
         return gateway
@@ -188,7 +188,7 @@
     def run(self, until: float, rate: float) -> None:
         """Simulate random arrivals at `rate` a second over all gateways, and everything that follows."""
         self.until = until
-        while self.now < until + max(c.patience for c in self.settings.classes) / 2:
+        while self.now < until + max(c.time_budget for c in self.settings.classes) / 2:
             self.now += STEP
             while self.calendar and self.calendar[0][0] <= self.now:
                 _, _, what, args = heapq.heappop(self.calendar)
@@ -208,20 +208,20 @@
         cls = self.random.choices(range(len(self.class_shares)), self.class_shares)[0]
         spec, name = self.settings.classes[cls], f"r{len(self.requests)}"
         work = self.mean_work[cls] * (0.5 + self.random.expovariate(2.0))
-        aim = spec.aim + spec.aim_stretch * work / spec.threads
-        self.requests[name] = (cls, work, self.now, min(aim, spec.patience))
+        aim = spec.latency_target + spec.target_per_work * work / spec.threads
+        self.requests[name] = (cls, work, self.now, min(aim, spec.time_budget))
         self.arrivals[cls] += self.now < self.until
-        self.gateway_counts[gateway.set.me, "arrived"] += self.now < self.until
+        self.gateway_counts[gateway.settings.gateway_index, "arrived"] += self.now < self.until
         self._apply_actions(
             gateway,
             gateway.handle(
-                self.now, api.Request(name, cls, spec.patience, data_set=self.random.randrange(40))
+                self.now, api.Request(name, cls, spec.time_budget, data_set=self.random.randrange(40))
             ),
         )
-        self.at(self.now + spec.patience, self._client_gone, gateway, name)
+        self.at(self.now + spec.time_budget, self._client_gone, gateway, name)
 
     def _client_gone(self, gateway: Gateway, name: str) -> None:
-        if name in gateway.queries:
+        if name in gateway.pending:
             self._apply_actions(gateway, gateway.handle(self.now, api.ClientGone(name)))
 
     def _run_engine(self, name: str, engine: SimEngine) -> None:
@@ -250,13 +250,13 @@
 
     def _end_attempt(self, attempt: SimAttempt, name: str, outcome: Outcome) -> None:
         gateway = attempt.gateway
-        if attempt.request not in gateway.out or gateway not in self.gateways:
+        if attempt.request not in gateway.in_flight or gateway not in self.gateways:
             return
         cls, _, arrived_at, aim = self.requests[attempt.request]
         succeeded = outcome is Outcome.OK
         in_time = succeeded and self.now <= arrived_at + aim and arrived_at < self.until
         self.served[cls] += in_time
-        self.gateway_counts[gateway.set.me, "served"] += in_time
+        self.gateway_counts[gateway.settings.gateway_index, "served"] += in_time
         self.outcomes[cls, outcome.value] += 1
         self._apply_actions(
             gateway,
@@ -279,7 +279,7 @@
 
     def can_reach(self, gateway: Gateway, engine: SimEngine) -> bool:
         """Whether the engine is up and reachable from this gateway."""
-        separated = (gateway.set.me % self.zones == self.isolated_zone) != (
+        separated = (gateway.settings.gateway_index % self.zones == self.isolated_zone) != (
             engine.entry.zone == self.isolated_zone
         )
         return engine.up and not (self.isolated_zone is not None and separated)
@@ -307,7 +307,7 @@
 
     def _send_attempt(self, gateway: Gateway, request: str, name: str, timeout: float, within: float) -> None:
         engine, (cls, total, _, _) = self.engines[name], self.requests[request]
-        number = len(gateway.queries[request].attempts) - 1
+        number = len(gateway.pending[request].attempts) - 1
         attempt = SimAttempt(
             gateway,
             request,
@@ -332,13 +332,13 @@
 
     def _begin_attempt(self, attempt: SimAttempt, name: str, timeout: float, by: float) -> None:
         """The connection is open: start the attempt unless it was cancelled or is past `by` (0: no limit)."""
-        engine, out = self.engines[name], attempt.gateway.out.get(attempt.request)
+        engine, out = self.engines[name], attempt.gateway.in_flight.get(attempt.request)
         cls = self.requests[attempt.request][0]
         if attempt.sent_at < self.now:
             self.connected_until[attempt.gateway, name] = self.now + IDLE_KEPT_FOR
         wanted = out and not out.ended and attempt.gateway in self.gateways and engine.up
         if not wanted or by and self.now > by or engine.entry.state is not EngineState.LIVE:
-            return self._end_attempt(attempt, name, Outcome.MOOT)
+            return self._end_attempt(attempt, name, Outcome.NOT_STARTED)
         self.outcomes[cls, "sent"] += 1
         if engine.warm_at > self.now:
             self.cold_arrivals.append((self.now, name, self.mean_work[cls]))
--- a/standins/purging.py
+++ b/standins/purging.py
@@ -13,7 +13,7 @@
 from bisect import bisect, insort
 from collections.abc import Mapping, Sequence
 
-from aspenrill.core.books import Call, Result
+from aspenrill.core.books import ClientRequest, Result
 from aspenrill.fleet.interface import Agreed, Effect, Inform, Place, Post, View
 from aspenrill.fleet.interface import Store as Saves
 from aspenrill.fleet.kept.front import Joined, Kept
@@ -236,7 +236,7 @@
         self.load_events: list = []
         self.kept = front(purges.store, policy, self.load_events.append)
         # end time, time of the read or write, group, request
-        self.in_flight: list[tuple[float, float, int, Call]] = []
+        self.in_flight: list[tuple[float, float, int, ClientRequest]] = []
         self.count = 0
 
     def on_start(self, now: float, view: Proc, stored: Mapping[str, bytes]) -> list[Effect]:
@@ -266,14 +266,16 @@
         """Add a request from a client."""
         self.count += 1
         text = f"{'select * from' if cls == LOOKUP else 'truncate'} sales_{group}.t"
-        call = Call(f"{self.count}", cls, 0, text.encode(), None, group, 0.0, 5.0, lambda call, final: None)
+        call = ClientRequest(
+            f"{self.count}", cls, 0, text.encode(), None, group, 0.0, 5.0, lambda call, final: None
+        )
         found = self.kept.lookup(call, now)
         if isinstance(found, Result):
             self.truth.serve(self.proc.name, group, found.rows & 0xFFFFFFFF)
         elif not isinstance(found, Joined):
             self.send(now, group, call)
 
-    def send(self, now: float, group: int, call: Call) -> None:
+    def send(self, now: float, group: int, call: ClientRequest) -> None:
         """Send it to an engine, which reads or writes at some time before its answer arrives."""
         self.kept.sent(call, now)
         world_now = self.world.now
--- a/standins/world.py
+++ b/standins/world.py
@@ -24,15 +24,15 @@
 
 CLASSES = ["lookup", "booking", "once", "usage-report"]
 SPECS = (
-    api.QueryClass(aim=1.0, patience=5.0, effect=api.Effect.SAFE),
-    api.QueryClass(aim=1.0, patience=5.0, effect=api.Effect.KEYED, dedup_window=15.0, worth=8),
-    api.QueryClass(aim=1.0, patience=5.0, effect=api.Effect.UNSAFE, worth=8),
-    api.QueryClass(aim=3.0, patience=20.0, effect=api.Effect.SAFE, worth=8, threads=2),
+    api.QueryClass(latency_target=1.0, time_budget=5.0, effect=api.Effect.SAFE),
+    api.QueryClass(latency_target=1.0, time_budget=5.0, effect=api.Effect.KEYED, dedup_window=15.0, worth=8),
+    api.QueryClass(latency_target=1.0, time_budget=5.0, effect=api.Effect.UNSAFE, worth=8),
+    api.QueryClass(latency_target=3.0, time_budget=20.0, effect=api.Effect.SAFE, worth=8, threads=2),
 )
 SETTINGS = api.Settings(
     classes=SPECS,
     cores_by_kind=(8,),
-    most_attempts=4,
+    max_attempts=4,
     may_cancel=True,
     may_probe=True,
     start_capacity=0.31,
@@ -277,7 +277,7 @@
                 [c.effect is api.Effect.KEYED for c in SPECS],
                 ["main"],
                 self.node.post,
-                lambda: self.node.owner.well,
+                lambda: self.node.owner.healthy,
             )
         else:
             self.node = Node(
@@ -292,7 +292,7 @@
             )
             maps = [
                 tds_front.Mapping(
-                    cls if t == 5 else f"{cls}-{t:g}", "*", i, 0, t if t != 5 else spec.patience, "batch"
+                    cls if t == 5 else f"{cls}-{t:g}", "*", i, 0, t if t != 5 else spec.time_budget, "batch"
                 )
                 for i, (cls, spec) in enumerate(zip(CLASSES, SPECS, strict=True))
                 for t in (5, 0.5, 1)
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -7,8 +7,10 @@
 from aspenrill.control import Gateway
 from aspenrill.state import pack_gossip
 
-LOOKUP = api.QueryClass(aim=1.0, patience=5.0, effect=Effect.SAFE)
-REPORT = api.QueryClass(aim=2.0, patience=20.0, effect=Effect.SAFE, worth=6, threads=2, aim_stretch=2.5)
+LOOKUP = api.QueryClass(latency_target=1.0, time_budget=5.0, effect=Effect.SAFE)
+REPORT = api.QueryClass(
+    latency_target=2.0, time_budget=20.0, effect=Effect.SAFE, worth=6, threads=2, target_per_work=2.5
+)
 
 
 def gateway(*names: str, classes=(LOOKUP, REPORT), **more) -> Gateway:
@@ -39,7 +41,7 @@
 
 
 def slow_down(g: Gateway) -> None:
-    g.ordinary = 5.0
+    g.fleet_slowdown = 5.0
 
 
 def probing_gateway(n: int, *names: str, seed: int = 1, cores: int = 8, **more) -> Gateway:
@@ -52,7 +54,7 @@
 
 def gossiping_gateway(n: int, *names: str, **more) -> Gateway:
     """One of `n` gateways that may gossip but not probe."""
-    rules = dict(may_probe=False, may_tell=True, tell_price=0.01, report_fields=("inflight",))
+    rules = dict(may_probe=False, may_gossip=True, gossip_price=0.01, report_fields=("inflight",))
     return probing_gateway(n, *names, **rules, **more)
 
 
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -5,7 +5,7 @@
 import time
 
 from aspenrill import api
-from aspenrill.core.books import Attempt, Call, Ended, Peer
+from aspenrill.core.books import Attempt, AttemptFinished, ClientRequest, Peer
 from aspenrill.engines import pool
 from aspenrill.engines.http import HttpEngines
 from aspenrill.net.hub import Hub
@@ -65,7 +65,9 @@
 
     def start(self, id_digit: str = "a", cls: str = "once", time_budget: float = LONG, **changed) -> Attempt:
         now = time.monotonic()
-        call = Call(id_digit * 16, CLASSES.index(cls), 0, b"x", None, None, now, time_budget, lambda *_: None)
+        call = ClientRequest(
+            id_digit * 16, CLASSES.index(cls), 0, b"x", None, None, now, time_budget, lambda *_: None
+        )
         attempt = Attempt(call, self.peer, 0, call.deadline, 1)
         for name, value in changed.items():
             setattr(attempt, name, value)
@@ -78,11 +80,11 @@
             assert time.monotonic() < end, "did not come true in time"
             self.hub.sleep(0.005)
 
-    def end(self, attempt: Attempt) -> Ended:
+    def end(self, attempt: Attempt) -> AttemptFinished:
         """Waits for the attempt to end; returns its only Ended."""
 
-        def mine() -> list[Ended]:
-            return [end for end in self.posted if isinstance(end, Ended) and end.attempt is attempt]
+        def mine() -> list[AttemptFinished]:
+            return [end for end in self.posted if isinstance(end, AttemptFinished) and end.attempt is attempt]
 
         self.until(mine)
         self.until(lambda: attempt.task.dead)
--- a/tests/silentfront.py
+++ b/tests/silentfront.py
@@ -21,14 +21,14 @@
         self.started.append(attempt)
 
     def cancel(self, attempt) -> None: ...
-    def rank(self, attempt, priority) -> None: ...
+    def set_priority(self, attempt, priority) -> None: ...
     def probe(self, peer) -> None: ...
     def retire(self, peer) -> None: ...
 
 
 SPECS = (
-    api.QueryClass(aim=1.0, patience=9.0, effect=api.Effect.SAFE, worth=2.0),
-    api.QueryClass(aim=1.0, patience=9.0, effect=api.Effect.SAFE, is_load=True),
+    api.QueryClass(latency_target=1.0, time_budget=9.0, effect=api.Effect.SAFE, worth=2.0),
+    api.QueryClass(latency_target=1.0, time_budget=9.0, effect=api.Effect.SAFE, is_load=True),
 )
 
 
@@ -43,8 +43,10 @@
         )
         self.answers: list[tuple[str, object]] = []
 
-    def ask(self, ident: str, statement: bytes = b"select 1 from sales_17.t", cls: int = 0) -> books.Call:
-        call = books.Call(
+    def ask(
+        self, ident: str, statement: bytes = b"select 1 from sales_17.t", cls: int = 0
+    ) -> books.ClientRequest:
+        call = books.ClientRequest(
             ident,
             cls,
             0,
@@ -55,9 +57,9 @@
             9.0,
             lambda call, final: self.answers.append((call.id, final)),
         )
-        self.owner.take(books.Asked(call))
+        self.owner.take(books.RequestReceived(call))
         return call
 
     def end(self, at: int, outcome: api.Outcome = api.Outcome.OK) -> None:
         result = books.Result("text", (b"1\n",), (), 1) if outcome is api.Outcome.OK else None
-        self.owner.take(books.Ended(self.engines.started[at], outcome, result, 0.25))
+        self.owner.take(books.AttemptFinished(self.engines.started[at], outcome, result, 0.25))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,7 +10,7 @@
 from scripted import GONE, HALF, LONG, OK, SHED, ScriptedEngine, response, rows
 
 from aspenrill import api
-from aspenrill.core.books import Ended
+from aspenrill.core.books import AttemptFinished
 from aspenrill.engines import pool
 from aspenrill.net.connecting import Refused
 from aspenrill.net.hub import Signal
@@ -18,7 +18,9 @@
 from standins.world import World
 
 
-@pytest.mark.parametrize("begin_by, outcome", [(True, api.Outcome.MOOT), (False, api.Outcome.CONNECT_FAILED)])
+@pytest.mark.parametrize(
+    "begin_by, outcome", [(True, api.Outcome.NOT_STARTED), (False, api.Outcome.CONNECT_FAILED)]
+)
 def test_waiting_for_a_connection_ends_at_the_begin_by_time(monkeypatch, begin_by, outcome):
     # the request waited for a connection it could no longer use, and its engine counted as unreachable
     script = ScriptedEngine(connect_for=LONG if begin_by else 0.05)
@@ -49,7 +51,7 @@
         script.engines.cancel(attempt)
         script.until(lambda: script.posted)
         assert script.posted[0].outcome is api.Outcome.TIMEOUT and not attempt.task.dead
-        assert 0 <= time.monotonic() - attempt.call.deadline
+        assert 0 <= time.monotonic() - attempt.client_request.deadline
         answer_delete.set()
         script.end(attempt)
 
@@ -83,9 +85,13 @@
     "answers, outcome, deleted",
     [
         ([response(503, SHED)], api.Outcome.FULL, False),
-        ([response(504, SHED)], api.Outcome.MOOT, False),
+        ([response(504, SHED)], api.Outcome.NOT_STARTED, False),
         ([response(202), response(503, SHED)], api.Outcome.FULL, False),  # it was queued in the engine
-        ([response(202, "X-Remark: parked", "X-Num: 1"), response(504, SHED)], api.Outcome.MOOT, False),
+        (
+            [response(202, "X-Remark: parked", "X-Num: 1"), response(504, SHED)],
+            api.Outcome.NOT_STARTED,
+            False,
+        ),
         ([HALF, response(503, SHED)], api.Outcome.ERROR, True),
         ([HALF, response(504, SHED)], api.Outcome.ERROR, True),
         ([HALF, response(202), response(503, SHED)], api.Outcome.ERROR, True),
@@ -181,7 +187,7 @@
         engines.post = lambda event: (seen.append(event), post(event))
         engine.batch = lambda conn, statement: engine.say(conn, tokens)
         world.client("once").ask("insert 1; insert 2")
-        assert [end.outcome for end in seen if isinstance(end, Ended)][0] is outcome
+        assert [end.outcome for end in seen if isinstance(end, AttemptFinished)][0] is outcome
 
     world.run(scene)
 
--- a/tests/test_attempts_ended.py
+++ b/tests/test_attempts_ended.py
@@ -50,10 +50,10 @@
         for _ in range(3):
             script.hub.give_way()
         gate.set()
-        assert script.end(attempt).outcome is api.Outcome.MOOT and not script.calls
+        assert script.end(attempt).outcome is api.Outcome.NOT_STARTED and not script.calls
         for other in before:
             script.end(other)
-        script.until(lambda: script.pools.count == script.peer.dialing == 0)
+        script.until(lambda: script.pools.count == script.peer.connecting == 0)
 
     script.play(scene)
 
@@ -75,7 +75,7 @@
     script = ScriptedEngine([first, delayed(rows(b"a"))])
 
     def scene() -> None:
-        attempt = script.start(began=time.monotonic() - 4.0)
+        attempt = script.start(began_at=time.monotonic() - 4.0)
         script.until(lambda: script.peer.idle if where == "pause" else len(script.calls) > 1)
         apply_change(script, attempt, how)
         go.append(True)
@@ -109,7 +109,7 @@
         if when == "after":
             script.engines.cancel(attempt)
             script.until(lambda: deletes)
-        script.engines.rank(attempt, 3)
+        script.engines.set_priority(attempt, 3)
         script.until(lambda: len(script.calls) > sent)
         for _ in range(20):
             script.hub.give_way()
--- a/tests/test_both.py
+++ b/tests/test_both.py
@@ -244,7 +244,7 @@
         stop, world.hub.stop = world.hub.stop, lambda: stopped.append(time.monotonic())
         world.hub.spawn(world.node.leave)
         world.hub.sleep(0.6)
-        assert not world.node.owner.well
+        assert not world.node.owner.healthy
         assert quick.ask("select 1").kind == "served"
         assert slow.read(6).kind in ("refused", "failed")
         world.until(lambda: stopped)
--- a/tests/test_both_connections.py
+++ b/tests/test_both_connections.py
@@ -12,7 +12,7 @@
 import pytest
 
 from aspenrill import api
-from aspenrill.core.books import Attempt, Call, Peer, Probed
+from aspenrill.core.books import Attempt, ClientRequest, Peer, ProbeFinished
 from aspenrill.members import Member
 from aspenrill.net.conn import Connection
 from aspenrill.net.connecting import connect
@@ -60,7 +60,7 @@
         node.owner.take = lambda event: (found.append(event), take(event))
         for _ in range(4):
             node.owner.engines.probe(peer)
-            world.until(lambda: any(isinstance(e, Probed) for e in found))
+            world.until(lambda: any(isinstance(e, ProbeFinished) for e in found))
             assert found.pop().outcome is api.Outcome.OK
             node.pools.retire(peer)
             found.clear()
@@ -144,7 +144,7 @@
         return Counter(
             type(o).__name__
             for o in gc.get_objects()
-            if isinstance(o, Connection | Call | Attempt | Peer | Task | BaseException)
+            if isinstance(o, Connection | ClientRequest | Attempt | Peer | Task | BaseException)
         )
 
     def churn(rounds: int) -> None:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -127,7 +127,11 @@
     def play():
         client, seen, calls, handle = world.client(), [], [], world.node.owner.gateway.handle
         world.node.owner.gateway.handle = lambda now, event: (seen.append(event), handle(now, event))[1]
-        delay_events(world, books.Asked, lambda asked: calls.append(asked.call) or asked.call.gone)
+        delay_events(
+            world,
+            books.RequestReceived,
+            lambda asked: calls.append(asked.client_request) or asked.client_request.gone,
+        )
         client.send("select 1")
         client.close() if how == "closes" else (
             client.cancel() if protocol == "tds" else client.conn.write(cancel_frame(1), time.monotonic() + 5)
@@ -142,7 +146,7 @@
 
 @PROTOCOLS
 def test_disconnect_while_a_connection_is_taken_is_seen_at_the_last_check(protocol):
-    # The owner has not processed the `Left` event yet.
+    # The owner has not processed the `ClientLeft` event yet.
     world = World(protocol, 1)
 
     def play():
@@ -157,7 +161,7 @@
             return found
 
         world.node.pools.take = slow
-        delay_events(world, books.Left, lambda left: begun)
+        delay_events(world, books.ClientLeft, lambda left: begun)
         client.send("select 1")
         world.until(lambda: begun and not world.node.owner.open)
         assert not world.engines[0].began
@@ -176,9 +180,9 @@
 
         def gone(end) -> bool:
             client.close()
-            return end.attempt.call.gone
+            return end.attempt.client_request.gone
 
-        delay_events(world, books.Ended, gone)
+        delay_events(world, books.AttemptFinished, gone)
         client.send("select 1")
         world.until(lambda: starts and not world.node.owner.open)
         assert len(starts) == 1 and sum(len(engine.began) for engine in world.engines) == 1
@@ -202,10 +206,10 @@
             world.tell([replace(world.member(world.engines[0]), address=full.getsockname())])
             client, peers = world.client(), world.node.owner.peers
             client.send("select 1")
-            world.until(lambda: any(peer.dialing for peer in peers.values()))
+            world.until(lambda: any(peer.connecting for peer in peers.values()))
             client.close()
             world.until(lambda: not world.node.owner.open)
-            world.until(lambda: not any(peer.dialing for peer in peers.values()))
+            world.until(lambda: not any(peer.connecting for peer in peers.values()))
             assert not world.engines[0].began
             for caller in callers:
                 caller.close()
@@ -215,11 +219,11 @@
 
 @PROTOCOLS
 def test_queued_request_is_not_sent_after_a_disconnect(protocol):
-    # The owner processes the end that frees a slot for the request before its `Left` event.
+    # The owner processes the end that frees a slot for the request before its `ClientLeft` event.
     world = World(protocol, 1, replace(SETTINGS, cores_by_kind=(1,)))
 
     def play():
-        owner, held, clients = world.node.owner, world.node.owner.gateway.held, []
+        owner, held, clients = world.node.owner, world.node.owner.gateway.queued, []
         for _ in range(4):
             assert (
                 world.client().ask("select 1").rows == ROWS
@@ -230,11 +234,13 @@
             clients[-1].send(f"select {len(clients)}")
             world.until(lambda: len(owner.open) == len(clients))
         [call], starts = [owner.open[ident] for ident in held], record_attempts(world)
-        delay_events(world, books.Ended, lambda end: clients[-1].close() or call.gone or not call.open)
+        delay_events(
+            world, books.AttemptFinished, lambda end: clients[-1].close() or call.gone or not call.open
+        )
         for client in clients[:-1]:
             assert client.read(20).rows == ROWS
         world.until(lambda: not owner.open)
-        assert call.gone and call not in [attempt.call for attempt in starts]
+        assert call.gone and call not in [attempt.client_request for attempt in starts]
 
     world.run(play)
 
@@ -246,8 +252,12 @@
         client, listener = world.client(), world.node.fronts[0][1]
         delay_events(
             world,
-            books.Ended,
-            lambda end: client.close() or end.attempt.call.gone or end.attempt.call.statement != b"select 1",
+            books.AttemptFinished,
+            lambda end: (
+                client.close()
+                or end.attempt.client_request.gone
+                or end.attempt.client_request.statement != b"select 1"
+            ),
         )
         client.send("select 1")
         world.until(lambda: world.engines[0].ended and not listener.connections)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -71,7 +71,8 @@
     simulation.settings = replace(
         simulation.settings,
         classes=tuple(
-            replace(c, aim=aim) for c, aim in zip(simulation.settings.classes, (0.2, 0.2, 0.2), strict=True)
+            replace(c, latency_target=aim)
+            for c, aim in zip(simulation.settings.classes, (0.2, 0.2, 0.2), strict=True)
         ),
     )
     simulation.gateways = [simulation.new_gateway(me) for me in range(24)]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,11 +9,13 @@
 from aspenrill.api import AttemptEnded, Effect, EngineEntry, EngineState, ListMode, ListUpdate, Outcome
 from aspenrill.control import PROBE_RESULT_SHARE, Gateway
 from aspenrill.policy.choice import SHORT_SHARE_HEADROOM
-from aspenrill.policy.figures import MAX_CANDIDATES, MAX_PROBES, THREADS_A_CORE
+from aspenrill.policy.figures import MAX_CANDIDATES, MAX_PROBES, MAX_THREADS_PER_CORE
 from aspenrill.state import pack_gossip
 
-LOOKUP = api.QueryClass(aim=1.0, patience=5.0, effect=Effect.SAFE)
-REPORT = api.QueryClass(aim=2.0, patience=20.0, effect=Effect.SAFE, worth=8, threads=2, aim_stretch=2.5)
+LOOKUP = api.QueryClass(latency_target=1.0, time_budget=5.0, effect=Effect.SAFE)
+REPORT = api.QueryClass(
+    latency_target=2.0, time_budget=20.0, effect=Effect.SAFE, worth=8, threads=2, target_per_work=2.5
+)
 GATEWAYS = 40
 NAMES = tuple(f"e{i}" for i in range(30))
 
@@ -28,7 +30,7 @@
             cold_for=12.0,
             fall_multiple=2.5,
             fall_window=1.5,
-            costs_told=True,
+            reports_work=True,
             report_fields=("util", "queue"),
         )
         | more
@@ -37,7 +39,7 @@
         ListMode.REMEMBERED, tuple(EngineEntry(n, EngineState.LIVE, kind=i % 2) for i, n in enumerate(names))
     )
     base = api.Settings(classes=(LOOKUP, REPORT), cores_by_kind=(8, 16), gateways=count, **rules)
-    made = [Gateway(replace(base, me=me), me, 0.0) for me in range(0, count, step)]
+    made = [Gateway(replace(base, gateway_index=me), me, 0.0) for me in range(0, count, step)]
     for g in made:
         g.handle(0.0, update)
     return made
@@ -52,12 +54,12 @@
     gateways, probes, asked = make_gateways(), 0, 0
     for step in range(50):
         for g in gateways:
-            now, name = 0.1 + step * 0.1, f"{g.set.me}/{step}"
+            now, name = 0.1 + step * 0.1, f"{g.settings.gateway_index}/{step}"
             actions, asked = g.handle(now, api.Request(name, 0, 5.0)), asked + 1
             assert len(of_type(api.Send, actions)) == 1  # without waiting for a probe
             probes += len(of_type(api.Probe, actions))
             outcome = Outcome.ERROR if step % 2 else Outcome.OK  # each error probes its engine
-            at = g.queries[name].engine.entry.engine
+            at = g.pending[name].engine.entry.engine
             probes += len(
                 of_type(api.Probe, g.handle(now + 0.05, AttemptEnded(name, 0, at, outcome, 0.05, True)))
             )
@@ -69,7 +71,7 @@
     sent, gateways = Counter(), make_gateways()
     for step in range(20):
         for g in gateways:
-            now, name = 0.1 + step * 0.1, f"{g.set.me}/{step}"
+            now, name = 0.1 + step * 0.1, f"{g.settings.gateway_index}/{step}"
             at = of_type(api.Send, g.handle(now, api.Request(name, 0, 5.0)))[0].engine
             sent[at] += 1
             g.handle(now + 0.05, AttemptEnded(name, 0, at, Outcome.OK, 0.05, True))
@@ -82,9 +84,9 @@
     gateways, kinds = make_gateways(), {n: (8, 16)[i % 2] for i, n in enumerate(NAMES)}
     for step in range(60):
         for g in gateways:
-            g.handle(0.1 + step * 0.01, api.Request(f"{g.set.me}/{step}", 1, 20.0))
+            g.handle(0.1 + step * 0.01, api.Request(f"{g.settings.gateway_index}/{step}", 1, 20.0))
     threads = sum(e.threads for g in gateways for e in g.fleet.engines.values())
-    assert threads <= THREADS_A_CORE * SHORT_SHARE_HEADROOM * sum(kinds.values())
+    assert threads <= MAX_THREADS_PER_CORE * SHORT_SHARE_HEADROOM * sum(kinds.values())
     assert threads > sum(kinds.values())  # and no core is idle
 
 
@@ -101,9 +103,9 @@
         )
     for step in range(60):
         for g in gateways:
-            g.handle(0.2 + step * 0.01, api.Request(f"{g.set.me}/{step}", 1, 20.0))
+            g.handle(0.2 + step * 0.01, api.Request(f"{g.settings.gateway_index}/{step}", 1, 20.0))
     threads = sum(e.threads for g in gateways for e in g.fleet.engines.values())
-    assert threads <= THREADS_A_CORE * SHORT_SHARE_HEADROOM * 12 * len(left)
+    assert threads <= MAX_THREADS_PER_CORE * SHORT_SHARE_HEADROOM * 12 * len(left)
 
 
 def test_attempts_at_draining_engines_use_no_headroom_elsewhere():
@@ -128,7 +130,7 @@
     g.classes[0].work, g.classes[1].work = 0.2, 3.0
     g.mix.update()
     for gap_level in range(6):
-        g.rung, g.base_gap, g.next_entry_at, g.classes[1].credit = gap_level, 1.0, 99.0, -9.0
+        g.gap_level, g.base_gap, g.next_entry_at, g.classes[1].credit = gap_level, 1.0, 99.0, -9.0
         passed += len(of_type(api.Send, g.handle(0.1, api.Request(f"r{gap_level}", 0, 5.0))))
     assert passed == 6 and not of_type(api.Send, g.handle(0.1, api.Request("long", 1, 20.0)))
 
@@ -161,9 +163,9 @@
     users, gateways = {n: set() for n in NAMES}, make_gateways()
     for step in range(40):
         for g in gateways:
-            now, name = 0.1 + step * 0.1, f"{g.set.me}/{step}"
+            now, name = 0.1 + step * 0.1, f"{g.settings.gateway_index}/{step}"
             at = of_type(api.Send, g.handle(now, api.Request(name, 0, 5.0)))[0].engine
-            users[at].add(g.set.me)
+            users[at].add(g.settings.gateway_index)
             g.handle(now + 0.05, AttemptEnded(name, 0, at, Outcome.OK, 0.05, True, 0.05))
     assert max(map(len, users.values())) <= 17 and min(map(len, users.values())) >= 8
     counts = Counter(e.entry.engine for g in gateways for e in g.affinity_engines)
@@ -194,20 +196,20 @@
         for a in of_type(api.Send, actions):
             cls = 0 if a.request.endswith("l") else 1
             sent.append((now, a.engine, work[cls]))
-            due.append((now + work[cls], g, a.request, len(g.queries[a.request].attempts) - 1, a.engine, cls))
+            due.append((now + work[cls], g, a.request, len(g.pending[a.request].attempts) - 1, a.engine, cls))
 
     for step in range(800):
         now = 0.1 + step * 0.02
         for item in [d for d in due if d[0] <= now]:
             due.remove(item)
             _, g, name, number, at, cls = item
-            if name in g.out:
+            if name in g.in_flight:
                 end = AttemptEnded(name, number, at, Outcome.OK, work[cls], True, work[cls])
                 process(g, now, g.handle(now, end))
         for g in gateways:
             if g.timer_at <= now:
                 process(g, now, g.handle(now, api.TimerDue("look")))
-            i = g.set.me
+            i = g.settings.gateway_index
             if step == 50 + i % 5:
                 update_list(g, now, zone, state=EngineState.GONE)
             elif step == 250 + i % 5:
@@ -216,9 +218,9 @@
                 name = f"{i}/{step}" + ("l" if (step + i) % 24 else "r")
                 process(g, now, g.handle(now, api.Request(name, int(name[-1] == "r"), 20.0)))
         if step == 300:
-            gateways[7] = Gateway(gateways[7].set, 99, now)
+            gateways[7] = Gateway(gateways[7].settings, 99, now)
             gateways[7].handle(now, ListUpdate(ListMode.REMEMBERED, tuple(state.values())))
-            due[:] = [d for d in due if d[1].set.me != 7]
+            due[:] = [d for d in due if d[1].settings.gateway_index != 7]
     for i, name in enumerate(zone):
         mine = [(t, w) for t, at, w in sent if at == name and t > 4.9]
         for end in (5.0 + 0.25 * k for k in range(44)):
@@ -248,17 +250,19 @@
 
 
 def test_long_work_does_not_block_short_worthy_work():
-    for g in make_gateways(priorities_heeded=True)[:5]:
+    for g in make_gateways(honors_priorities=True)[:5]:
         g.classes[0].work, g.classes[1].work = 0.2, 3.0
         g.mix.update()
         for i in range(30):
             g.handle(0.1, api.Request(f"long{i}", 1, 20.0))
-        assert g.held  # the thread limit is reached
+        assert g.queued  # the thread limit is reached
         short = [
             s for i in range(30) for s in of_type(api.Send, g.handle(0.2, api.Request(f"short{i}", 0, 5.0)))
         ]
         assert (
-            g.capacity_share - 1 < len(short) <= THREADS_A_CORE * SHORT_SHARE_HEADROOM**2 * g.capacity_share
+            g.capacity_share - 1
+            < len(short)
+            <= MAX_THREADS_PER_CORE * SHORT_SHARE_HEADROOM**2 * g.capacity_share
         )
 
 
@@ -297,7 +301,7 @@
 def test_engines_that_share_a_gossip_tag_are_not_gossiped():
     # Tags have 16 bits: of 1,100 engines some share one, and the load of one was taken for the other's.
     names = [f"s-{i * 2654435761 % 2**32:08x}" for i in range(1100)]
-    (g,) = make_gateways(names, 1100, 1100, may_probe=False, may_tell=True)
+    (g,) = make_gateways(names, 1100, 1100, may_probe=False, may_gossip=True)
     shared = Counter(e.gossip_tag for e in g.live)
     pair = [e for e in g.live if shared[e.gossip_tag] > 1]
     alone = next(e for e in g.live if shared[e.gossip_tag] == 1)
@@ -308,7 +312,9 @@
     # The order has 1,024 places for 1,100 engines: those in the same place stood in the order of the list.
     names = [f"e{i}" for i in range(1100)]
     (g,), (other,) = make_gateways(names, 1100, 1100), make_gateways(names[::-1], 1100, 1100)
-    assert [e.entry.engine for e in g.fleet.order(-1)] == [e.entry.engine for e in other.fleet.order(-1)]
+    assert [e.entry.engine for e in g.fleet.affinity_order(-1)] == [
+        e.entry.engine for e in other.fleet.affinity_order(-1)
+    ]
     users = Counter(
         e.entry.engine for g in make_gateways(names, 1100, MAX_CANDIDATES) for e in g.affinity_engines
     )
@@ -320,8 +326,8 @@
 def test_cached_affinity_orders_are_bounded():
     (g, *_) = make_gateways()
     for data_set in range(2000):
-        g.fleet.order(data_set)
-    assert len(g.fleet.affinity_orders) <= 260 and len(g.fleet.order(1)) == len(NAMES)
+        g.fleet.affinity_order(data_set)
+    assert len(g.fleet.affinity_orders) <= 260 and len(g.fleet.affinity_order(1)) == len(NAMES)
 
 
 def test_cost_of_a_decision_does_not_depend_on_the_number_of_engines():
@@ -336,7 +342,7 @@
     items_read = []
     for count in (60, 1100):
         (g,) = make_gateways(
-            [f"e{i}" for i in range(count)], count, count, priorities_heeded=True, most_attempts=1
+            [f"e{i}" for i in range(count)], count, count, honors_priorities=True, max_attempts=1
         )
         g.live, Counted.items_read, g.classes[0].latency = Counted(g.live), 0, 0.1
         for step in range(200):
@@ -345,30 +351,30 @@
                 if step % 3 == 0:
                     g.handle(0.1, AttemptEnded(name, 0, sent.engine, Outcome.ERROR, 0.05, False))
         items_read.append(Counted.items_read)
-        assert g.held
+        assert g.queued
     assert items_read[1] < 1100, items_read
 
 
 def test_lookups_are_queued_apart_from_reports():
     # With one queue for all classes reports filled it, and lookups were refused although they had time left.
-    (g, *_) = make_gateways(priorities_heeded=True)
+    (g, *_) = make_gateways(honors_priorities=True)
     g.classes[0].work, g.classes[0].latency, g.classes[1].work, g.classes[1].latency = 0.2, 0.1, 3.0, 1.5
     g.mix.update()
     for i in range(40):
         g.handle(0.1, api.Request(f"long{i}", 1, 20.0))
-    waiting = len(g.held)
+    waiting = len(g.queued)
     for i in range(20):
         g.handle(0.2, api.Request(f"short{i}", 0, 5.0))
-    assert waiting > 5 and sum(q.ask.cls == 0 for q in g.held.values()) > 2
+    assert waiting > 5 and sum(q.arrival.cls == 0 for q in g.queued.values()) > 2
 
 
 def test_slow_long_work_is_pressure_despite_many_fast_lookups():
     # Engines serve urgent requests first. Counted by number, these made the fleet look fast.
-    (g, *_), now = make_gateways(priorities_heeded=True), 0.1
+    (g, *_), now = make_gateways(honors_priorities=True), 0.1
     for step in range(330):
         now, cls = now + 0.1, int(step % 11 == 10)
         name, work = f"r{step}", (0.05, 3.0)[cls]
         for at in of_type(api.Send, g.handle(now, api.Request(name, cls, 20.0))):
             latency = (0.05, 6.0)[cls]  # a report on two threads takes four times as long as its work needs
             g.handle(now + 0.05, AttemptEnded(name, 0, at.engine, Outcome.OK, latency, True, work))
-    assert g.ordinary > 1.7
+    assert g.fleet_slowdown > 1.7
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -297,7 +297,9 @@
     found = Front()
     store = Store()
     store.lease_end = 100.0
-    found.owner.kept = Kept(store, Policy({0: Rule("lookup", 60.0)}, frozenset({1})), lambda news: None)
+    found.owner.answer_cache = Kept(
+        store, Policy({0: Rule("lookup", 60.0)}, frozenset({1})), lambda news: None
+    )
     return found
 
 
@@ -305,7 +307,7 @@
     for ident in "abc":
         front.ask(ident)
     assert len(front.engines.started) == 1
-    front.owner.take(books.Tired(front.owner.open["b"]))  # continues on its own
+    front.owner.take(books.WaitExpired(front.owner.open["b"]))  # continues on its own
     assert len(front.engines.started) == 2
     front.end(0)
     assert [ident for ident, _ in front.answers] == ["a", "c"] and "b" in front.owner.open
@@ -315,8 +317,8 @@
     front.ask("e")  # purged when the load was sent
     front.ask("f")
     assert len(front.engines.started) == 4 and len(front.answers) == 3
-    front.owner.take(books.Left(front.owner.open["e"]))  # the request that was fetching
-    assert len(front.engines.started) == 5 and front.engines.started[-1].call.id == "f"
+    front.owner.take(books.ClientLeft(front.owner.open["e"]))  # the request that was fetching
+    assert len(front.engines.started) == 5 and front.engines.started[-1].client_request.id == "f"
     front.end(1)
     front.end(4)
     assert {ident for ident, _ in front.answers} == set("abcdf")
@@ -330,7 +332,7 @@
     groups = SimpleNamespace(
         count=lambda *args: counted.append(args), tell=lambda now, facts: counted.append(facts)
     )
-    feed = front.owner.fleet = RequestFeed(front.owner, SimpleNamespace(groups=groups), bridge)
+    feed = front.owner.fleet_feed = RequestFeed(front.owner, SimpleNamespace(groups=groups), bridge)
     front.ask("a")
     front.ask("l", b"insert into sales_17.t values (1)", 1)
     front.end(1)
@@ -346,7 +348,7 @@
     assert counted[1].engines == ("x", "y") and not counted[1].storm
     engine = front.owner.gateway.fleet.engines["x"]
     front.owner.gateway.ejected, engine.ejected_until = [engine], 1e12
-    front.owner.take(books.Probed(front.owner.peers["x"], api.Outcome.TIMEOUT, 0.1))
+    front.owner.take(books.ProbeFinished(front.owner.peers["x"], api.Outcome.TIMEOUT, 0.1))
     bridge.calls.clear()
     feed.flush(5.5)
     probe_calls = [call for call in bridge.calls if call[0] in ("on_ejected", "on_probed")]
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -266,9 +266,12 @@
 def test_decision_modules_broadcast_if_enabled(world, may):
     def node() -> SimpleNamespace:
         heard = []
-        settings = SimpleNamespace(classes=(), may_tell=may)
+        settings = SimpleNamespace(classes=(), may_gossip=may)
         return SimpleNamespace(
-            settings=settings, post=heard.append, heard=heard, owner=SimpleNamespace(tell=lambda data: None)
+            settings=settings,
+            post=heard.append,
+            heard=heard,
+            owner=SimpleNamespace(send_gossip=lambda data: None),
         )
 
     def scene():
@@ -279,10 +282,10 @@
             joining.join(world.hub, one, lambda table=table: table, "fleet.")
             for one, table in zip((first, second), tables, strict=True)
         ]
-        first.owner.tell(b"news of b")
+        first.owner.send_gossip(b"news of b")
         if may:
             world.until(lambda: second.heard)
-            assert second.heard == [books.Heard(1, b"news of b")] and not first.heard
+            assert second.heard == [books.GossipReceived(1, b"news of b")] and not first.heard
         else:
             world.hub.sleep(0.5)
             assert not second.heard
@@ -304,14 +307,14 @@
     from aspenrill.core.owner import Owner
 
     settings = api.Settings(
-        classes=(api.QueryClass(1.0, 5.0, api.Effect.SAFE),), cores_by_kind=(8,), may_tell=True
+        classes=(api.QueryClass(1.0, 5.0, api.Effect.SAFE),), cores_by_kind=(8,), may_gossip=True
     )
     owner, told, heard = Owner(Hub(), settings, 1, SimpleNamespace()), [], []
-    owner._act(api.Tell(b"nobody there"), 0.0)
-    owner.tell = told.append
-    owner._act(api.Tell(b"x"), 0.0)
+    owner._act(api.SendGossip(b"nobody there"), 0.0)
+    owner.send_gossip = told.append
+    owner._act(api.SendGossip(b"x"), 0.0)
     owner.gateway.handle = lambda now, event: heard.append(event) or []
-    owner.take(books.Heard(3, b"y"))
+    owner.take(books.GossipReceived(3, b"y"))
     assert told == [b"x"] and heard == [api.PeerMessage(3, b"y")]
 
 
--- a/tests/test_fleetsim.py
+++ b/tests/test_fleetsim.py
@@ -10,15 +10,17 @@
 from aspenrill.api import Effect
 from standins.fleetsim import CORES_PER_THREAD, FleetSimulation
 
-LOOKUP = api.QueryClass(aim=1.0, patience=5.0, effect=Effect.SAFE, aim_stretch=1.5)
-REPORT = api.QueryClass(aim=1.5, patience=20.0, effect=Effect.SAFE, worth=8, threads=2, aim_stretch=2.5)
+LOOKUP = api.QueryClass(latency_target=1.0, time_budget=5.0, effect=Effect.SAFE, target_per_work=1.5)
+REPORT = api.QueryClass(
+    latency_target=1.5, time_budget=20.0, effect=Effect.SAFE, worth=8, threads=2, target_per_work=2.5
+)
 LOAD = api.QueryClass(
-    aim=3.0,
-    patience=25.0,
+    latency_target=3.0,
+    time_budget=25.0,
     effect=Effect.KEYED,
     worth=12,
     threads=2,
-    aim_stretch=3.0,
+    target_per_work=3.0,
     is_load=True,
     dedup_window=15.0,
 )
@@ -34,7 +36,7 @@
         classes=(LOOKUP, REPORT, load),
         cores_by_kind=cores,
         gateways=gateways,
-        most_attempts=5,
+        max_attempts=5,
         may_probe=True,
         probe_price=0.08,
         may_cancel=True,
@@ -42,10 +44,10 @@
         cold_for=12.0,
         fall_multiple=2.5,
         fall_window=1.5,
-        costs_told=True,
+        reports_work=True,
         report_fields=("util", "queue"),
-        priorities_heeded=True,
-        longest_come_back=2.0,
+        honors_priorities=True,
+        max_retry_after=2.0,
     )
     return FleetSimulation(rules, engines, 3, MEAN_WORK, CLASS_SHARES, seed)
 
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -156,7 +156,7 @@
 
     def play():
         assert is_well() is True
-        world.node.owner.well = False
+        world.node.owner.healthy = False
         assert is_well() is False
 
     world.run(play)
--- a/tests/test_groups_splits.py
+++ b/tests/test_groups_splits.py
@@ -308,7 +308,7 @@
     fleet = Fleet((8,), ())
     fleet.apply(ListUpdate(ListMode.COMPLETE, tuple(EngineEntry(e, EngineState.LIVE) for e in ENGINES)), 0.0)
     for group in range(50):
-        assert order(group, 0, ENGINES) == tuple(e.entry.engine for e in fleet.order(group))
+        assert order(group, 0, ENGINES) == tuple(e.entry.engine for e in fleet.affinity_order(group))
 
 
 def test_doubling_moves_keys_only_into_new_parts_with_homes_of_their_own():
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,7 +7,7 @@
 import pytest
 
 from aspenrill import api
-from aspenrill.core.books import Attempt, Call, Peer
+from aspenrill.core.books import Attempt, ClientRequest, Peer
 from aspenrill.engines import pool
 from aspenrill.engines.http import MAX_PAUSE, HttpEngines, parse_load_report
 from aspenrill.net.connecting import Refused
@@ -35,9 +35,9 @@
     engines = HttpEngines(hub, Pools(), settings, CLASSES, found.append)
     hub.sleep = found.append
     now = time.monotonic()
-    call = Call("0" * 16, 0, 0, b"x", None, None, now, 60.0, lambda *_: None)
+    call = ClientRequest("0" * 16, 0, 0, b"x", None, None, now, 60.0, lambda *_: None)
     attempt = Attempt(call, Peer("e", ("", 0), api.EngineState.LIVE), 0, now + 60, 1)
-    attempt.began = now - ran
+    attempt.began_at = now - ran
     attempt.state = state and (now - state[0], state[1])
     engines._pause(attempt, None, http1.Head(202, {}), share)
     return found[0] if found else 0.0
@@ -70,7 +70,7 @@
         (503, {"x-shed": "1"}, api.Outcome.FULL),
         (503, {}, api.Outcome.ERROR),
         (500, {}, api.Outcome.ERROR),
-        (504, {"x-shed": "1"}, api.Outcome.MOOT),
+        (504, {"x-shed": "1"}, api.Outcome.NOT_STARTED),
         (504, {}, api.Outcome.TIMEOUT),
         (500, {"x-shed": "1"}, api.Outcome.ERROR),
     ],
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from aspenrill import api
-from aspenrill.core.books import Call, Result
+from aspenrill.core.books import ClientRequest, Result
 from aspenrill.fleet.kept import scopes
 from aspenrill.fleet.kept.front import Joined, Kept, LoadNews
 from aspenrill.fleet.kept.policy import Policy, Rule, read_kept, read_purges
@@ -30,11 +30,13 @@
         policy = Policy(rules, frozenset({1}), joins=joins)
         self.kept = Kept(self.store, policy, self.load_updates.append)
 
-    def call(self, text: bytes = QUERY, cls: int = 0, tenant: int = 0) -> Call:
+    def call(self, text: bytes = QUERY, cls: int = 0, tenant: int = 0) -> ClientRequest:
         self.count += 1
-        return Call(f"r{self.count}", cls, tenant, text, None, 17, 0.0, 4.0, lambda call, final: None)
+        return ClientRequest(
+            f"r{self.count}", cls, tenant, text, None, 17, 0.0, 4.0, lambda call, final: None
+        )
 
-    def fetch(self, now: float, text: bytes = QUERY, **more) -> Call:
+    def fetch(self, now: float, text: bytes = QUERY, **more) -> ClientRequest:
         call = self.call(text, **more)
         assert self.kept.lookup(call, now) is None
         self.kept.sent(call, now)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -23,7 +23,7 @@
     def scene() -> None:
         try:
             world.hub.spawn(world.node.leave)
-            world.until(lambda: not world.node.owner.well)
+            world.until(lambda: not world.node.owner.healthy)
             play(lambda: bool(ended))
             world.until(lambda: ended)
         finally:
@@ -41,7 +41,8 @@
 
 def settings(time_budget: float):
     return replace(
-        SETTINGS, classes=tuple(replace(c, aim=time_budget / 2, patience=time_budget) for c in SPECS)
+        SETTINGS,
+        classes=tuple(replace(c, latency_target=time_budget / 2, time_budget=time_budget) for c in SPECS),
     )
 
 
@@ -89,7 +90,7 @@
         assert client.ask("select 1").kind == "served"
         client.send("select long")
         world.until(lambda: "select long" in engine.statements)
-        world.until(lambda: not world.node.owner.taking)
+        world.until(lambda: not world.node.owner.accepting)
         client.send("select late")
         assert client.read(5).kind == "refused"  # at once, before the earlier request is answered
         assert client.read(5).kind == "served"
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -34,13 +34,13 @@
                 retire=self.method("retire", self.retired),
                 cancel=self.method("cancel", []),
                 probe=lambda peer: None,
-                rank=lambda attempt, priority: None,
+                set_priority=lambda attempt, priority: None,
             ),
         )
         members = tuple(Member(name, ("127.0.0.1", 80), api.EngineState.LIVE) for name in (BAD, FINE))
         self.owner.take(News(1, True, members))
         self.calls = {
-            name: books.Call(name, 0, 0, b"", None, None, time.monotonic(), 60.0, self.reply)
+            name: books.ClientRequest(name, 0, 0, b"", None, None, time.monotonic(), 60.0, self.reply)
             for name in (BAD, FINE)
         }
         self.owner.open.update(self.calls)
@@ -48,14 +48,14 @@
 
     def method(self, name: str, done: list):
         def call(what) -> None:
-            one = what.call.id if isinstance(what, books.Attempt) else what.engine
+            one = what.client_request.id if isinstance(what, books.Attempt) else what.engine
             if name == self.breaks and one == BAD:
                 raise ValueError("a fault in the program")
             done.append(one)
 
         return call
 
-    def reply(self, call: books.Call, final: books.Final) -> None:
+    def reply(self, call: books.ClientRequest, final: books.Final) -> None:
         if self.breaks == "reply" and call.id == BAD:
             raise ValueError("a fault in the program")
         self.answers.append((call.id, type(final)))
@@ -92,14 +92,14 @@
         return [first, fine] if isinstance(event, api.TimerDue) else []
 
     fixture.owner.gateway.handle = handle
-    fixture.play(books.Due("look"))
+    fixture.play(books.TimerExpired("look"))
     sent, own = isinstance(fine, api.Send), isinstance(first, api.Send)
     assert fixture.started == [FINE] * sent and fixture.owner.faults == 1
     assert fixture.answers == [(BAD, books.Failed)] * own + [(FINE, books.Refused)] * (not sent)
     if own:  # the decision module keeps neither the request nor its attempt
         assert events[1:] == [
             api.ClientGone(BAD),
-            api.AttemptEnded(BAD, 0, first.engine, api.Outcome.MOOT, 0.0, True),
+            api.AttemptEnded(BAD, 0, first.engine, api.Outcome.NOT_STARTED, 0.0, True),
         ]
 
 
@@ -123,7 +123,7 @@
 
     gateway.handle = handle
     fixture.owner.open.pop(BAD)
-    fixture.play(books.Asked(fixture.calls[BAD]))
+    fixture.play(books.RequestReceived(fixture.calls[BAD]))
     assert fixture.started == started and fixture.answers == answers and fixture.owner.faults == 1
     for call in fixture.calls.values():
         if call.deadline_timer is not None:
@@ -159,7 +159,7 @@
     fixture.owner.gateway.handle = lambda now, event: events.append(event) or []
     fixture.play(
         News(2, False, (Member(BAD, ("127.0.0.1", 80), api.EngineState.LIVE, started=9.0),)),
-        books.Probed(before, api.Outcome.CONNECT_FAILED, 0.1, None),
-        books.Probed(fixture.owner.peers[FINE], api.Outcome.OK, 0.1, None),
+        books.ProbeFinished(before, api.Outcome.CONNECT_FAILED, 0.1, None),
+        books.ProbeFinished(fixture.owner.peers[FINE], api.Outcome.OK, 0.1, None),
     )
     assert [event.engine for event in events if isinstance(event, api.ProbeEnded)] == [FINE]
--- a/tests/test_policy_choice.py
+++ b/tests/test_policy_choice.py
@@ -12,12 +12,12 @@
 def test_chooses_the_engine_with_fewest_own_threads_per_core():
     g = gateway("a", "b")
     send_requests(g, 6)
-    assert [len(e.out) for e in g.fleet.engines.values()] == [3, 3]
+    assert [len(e.in_flight) for e in g.fleet.engines.values()] == [3, 3]
 
 
 def test_with_more_gateways_than_engines_a_start_waits_for_its_probes():
     g = probing_gateway(9, "a", "b", "c", report_fields=("util",))
-    g.ordinary = 3.0  # without pressure one fewer is probed
+    g.fleet_slowdown = 3.0  # without pressure one fewer is probed
     asked = [a.engine for a in g.handle(0.1, api.Request("r", 0, 5.0)) if isinstance(a, api.Probe)]
     assert sorted(asked) == ["a", "b", "c"]
     loads = {"a": 0.9, "b": 0.2, "c": 0.8}
@@ -57,12 +57,12 @@
     g._allowed = lambda pending, engine: checked.append(engine) or allowed(pending, engine)
     g.handle(0.1, api.Request("r", 0, 5.0))
     g.handle(0.2, api.TimerDue("look"))
-    assert len(g.queries["r"].attempts) == 1 and len(checked) < 40
+    assert len(g.pending["r"].attempts) == 1 and len(checked) < 40
 
 
 def test_many_gateways_together_keep_to_a_cold_engines_limit():
     n, sent = 100, []
-    fleet = [probing_gateway(n, me=i, seed=i, may_probe=False) for i in range(n)]
+    fleet = [probing_gateway(n, gateway_index=i, seed=i, may_probe=False) for i in range(n)]
     update = ListUpdate(ListMode.CHANGES, (EngineEntry("cold", EngineState.LIVE, started=0.5),))
     for g in fleet:
         for c in g.classes:
@@ -85,8 +85,8 @@
 
 
 def test_loads_and_readers_of_a_data_set_use_different_engines():
-    reader = api.QueryClass(aim=1.0, patience=5.0, effect=Effect.SAFE, waits_for_loads=True)
-    load = api.QueryClass(aim=3.0, patience=20.0, effect=Effect.UNSAFE, threads=2, is_load=True)
+    reader = api.QueryClass(latency_target=1.0, time_budget=5.0, effect=Effect.SAFE, waits_for_loads=True)
+    load = api.QueryClass(latency_target=3.0, time_budget=20.0, effect=Effect.UNSAFE, threads=2, is_load=True)
     g = gateway("a", "b", "c", classes=(reader, load))
     where = sends(g.handle(0.1, api.Request("l", 1, 20.0, data_set=3)))[0].engine
     for i in range(4):
@@ -103,7 +103,7 @@
 def test_many_gateways_keep_to_the_limit_of_cold_engines_in_every_window(learned):
     n, true_work, sent = 240, (0.25, 1.5), {}
     rules = dict(fall_window=1.0, cold_for=12.0, start_capacity=0.34)
-    fleet = [gossiping_gateway(n, *"abcd", me=i, seed=i, cores=16, **rules) for i in range(n)]
+    fleet = [gossiping_gateway(n, *"abcd", gateway_index=i, seed=i, cores=16, **rules) for i in range(n)]
     cold = ListUpdate(ListMode.CHANGES, tuple(EngineEntry(e, EngineState.LIVE, started=0.5) for e in "bcd"))
     for g in fleet:
         for c, work in zip(g.classes, true_work, strict=True):
@@ -133,7 +133,9 @@
 
 def test_loads_of_one_group_do_not_queue_at_an_engine():
     # Sent at once, each load waited at the engine for those before it, and nearly all were late.
-    load = api.QueryClass(aim=3.0, patience=25.0, effect=Effect.KEYED, worth=12, threads=2, is_load=True)
+    load = api.QueryClass(
+        latency_target=3.0, time_budget=25.0, effect=Effect.KEYED, worth=12, threads=2, is_load=True
+    )
     g = gateway("a", "b", classes=(LOOKUP, load))
     g.send_times.extend([0.0] * 50)
     g.classes[1].latency = 0.5
--- a/tests/test_policy_outcomes.py
+++ b/tests/test_policy_outcomes.py
@@ -20,12 +20,12 @@
 
 
 def test_keyed_request_is_not_repeated_after_its_window():
-    keyed = api.QueryClass(aim=9.0, patience=20.0, effect=Effect.KEYED, dedup_window=1.0)
+    keyed = api.QueryClass(latency_target=9.0, time_budget=20.0, effect=Effect.KEYED, dedup_window=1.0)
     for took, again in ((0.5, True), (1.5, False)):
         g = gateway("a", "b", classes=(keyed,))
         g.classes[0].latency = 0.5
         g.handle(0.1, api.Request("r", 0, 20.0))
-        engine = g.queries["r"].engine.entry.engine
+        engine = g.pending["r"].engine.entry.engine
         actions = g.handle(0.1 + took, AttemptEnded("r", 0, engine, Outcome.ERROR, took, False))
         assert bool(sends(actions)) is again and bool(answers(actions)) is not again
 
@@ -35,7 +35,7 @@
     g.classes[0].latency = 0.2
     for at, name in ((1.0, "r"), (6.0, "s")):
         g.handle(at - 0.1, api.Request(name, 0, 20.0))
-        engine = g.queries[name].engine.entry.engine
+        engine = g.pending[name].engine.entry.engine
         again = sends(g.handle(at, AttemptEnded(name, 0, engine, Outcome.CONNECT_FAILED, 0.1, False)))
         assert len(again) == (1 if name == "r" else 0)
 
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_retries_stay_in_the_budget_through_bursts_and_pauses(seed):
     rng = random.Random(seed)
-    g = gossiping_gateway(9, *"abcd", retry_free=2, retry_ratio=0.1, retry_span=10.0, most_attempts=4)
+    g = gossiping_gateway(9, *"abcd", retry_free=2, retry_ratio=0.1, retry_span=10.0, max_attempts=4)
     g.classes[0].latency, now, n = 0.1, 0.0, 0
     taken, extra, first = [], [], set()
 
@@ -61,7 +61,7 @@
             n += 1
             taken.append(now)
             check(g.handle(now, api.Request(f"r{n}", 0, 5.0)))
-        for name, pending in list(g.out.items()):
+        for name, pending in list(g.in_flight.items()):
             outcome = rng.choice([Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.OK])
             engine = pending.engine.entry.engine
             last = len(pending.attempts) - 1
@@ -72,7 +72,7 @@
 
 def test_long_request_is_not_restarted_repeatedly():
     # Its work is truly long: without the restart credit each such request was cancelled until it was refused.
-    g = gateway("a", "b", may_cancel=True, most_attempts=5)
+    g = gateway("a", "b", may_cancel=True, max_attempts=5)
     cancels = 0
     for i in range(20):
         g.handle(0.0, api.Request(f"r{i}", 1, 20.0))
@@ -86,7 +86,7 @@
 
 def test_unsafe_request_is_not_restarted():
     # A cancelled unsafe request fails: it would end because it takes longer than others of its class.
-    once = api.QueryClass(aim=1.0, patience=60.0, effect=Effect.UNSAFE)
+    once = api.QueryClass(latency_target=1.0, time_budget=60.0, effect=Effect.UNSAFE)
     for spec, restarted in ((once, False), (LOOKUP, True)):
         g = gateway("a", classes=(spec,), may_cancel=True)
         g.handle(0.1, api.Request("r", 0, 60.0))
--- a/tests/test_policy_sending.py
+++ b/tests/test_policy_sending.py
@@ -17,28 +17,28 @@
         (Effect.UNSAFE, {}, False),
         (Effect.SAFE, {"may_cancel": False}, False),
     ):
-        spec = api.QueryClass(aim=1.0, patience=5.0, effect=effect)
+        spec = api.QueryClass(latency_target=1.0, time_budget=5.0, effect=effect)
         g = gateway(
             "a",
             "b",
             classes=(spec,),
             gateways=9,
-            costs_told=True,
+            reports_work=True,
             **{"may_probe": True, "may_cancel": True} | more,
         )
-        g.classes[0].latency, g.classes[0].work, g.ordinary = 0.2, 0.2, 2.5
+        g.classes[0].latency, g.classes[0].work, g.fleet_slowdown = 0.2, 0.2, 2.5
         g.handle(0.1, api.Request("r", 0, 5.0))
         send = sends(timers(g, 0.3))[0]
         assert (0 < send.timeout < 0.8) is limited
         if limited:
             g.handle(0.1 + send.timeout, AttemptEnded("r", 0, send.engine, Outcome.TIMEOUT, 0.6, False))
-            assert [s.engine for s in sends(timers(g, 1.0))] != [send.engine] and g.queries["r"].attempts[1:]
+            assert [s.engine for s in sends(timers(g, 1.0))] != [send.engine] and g.pending["r"].attempts[1:]
 
 
 def test_nothing_is_sent_while_an_attempt_is_in_flight_or_after_the_end():
     g = gateway("a", "b")
     send_requests(g, 1)
-    pending = g.queries["r0"]
+    pending = g.pending["r0"]
     assert not g._send(pending, g.fleet.engines["b"])  # one attempt is in flight
     g.handle(0.2, AttemptEnded("r0", 0, "a", Outcome.OK, 0.1, True))
     assert not g._send(pending, g.fleet.engines["b"])  # the request has ended
@@ -46,13 +46,13 @@
 
 def test_grants_are_larger_where_engines_page():
     for pages, most in ((True, 4.0), (False, 1.0)):
-        g = gateway("a", grants_heeded=True, shortage_pages=pages)
+        g = gateway("a", honors_grants=True, shortage_pages=pages)
         actions = g.handle(0.1, api.Request("r", 0, 5.0, memory_mb=100.0))
         terms = [a for a in actions if isinstance(a, api.SetTerms)]
         assert terms[0].memory_mb == pytest.approx(100.0 * most)
 
 
-KEYED = api.QueryClass(aim=20.0, patience=30.0, effect=Effect.KEYED, dedup_window=6.0)
+KEYED = api.QueryClass(latency_target=20.0, time_budget=30.0, effect=Effect.KEYED, dedup_window=6.0)
 COLD = dict(start_capacity=0.5, cold_for=10.0, fall_multiple=2.0, fall_window=1.5)
 
 
@@ -72,7 +72,7 @@
     first = sends(g.handle(1.0, api.Request("r", 0, 30.0)))[0]
     again = sends(g.handle(5.0, ended(first, 0, Outcome.RESET)))[0]
     assert first.begin_within == 0.0 and again.begin_within == pytest.approx(2.0)
-    assert not sends(g.handle(7.01, ended(again, 1, Outcome.MOOT)))
+    assert not sends(g.handle(7.01, ended(again, 1, Outcome.NOT_STARTED)))
     g = gateway("a", "b", classes=(KEYED,))  # a repeat of what never ran needs no window
     g.classes[0].latency = 0.1
     first = sends(g.handle(1.0, api.Request("r", 0, 30.0)))[0]
@@ -87,7 +87,7 @@
         engine.cold_slots = {0: 1.0, 1: 1.0}
     first = sends(g.handle(1.1, api.Request("r", 0, 5.0)))[0]
     assert first.begin_within == pytest.approx(0.15)
-    again = sends(g.handle(1.5, ended(first, 0, Outcome.MOOT)))[0]
+    again = sends(g.handle(1.5, ended(first, 0, Outcome.NOT_STARTED)))[0]
     late = g.fleet.engines[first.engine]
     assert (
         again.engine != first.engine and late.healthy and not late.consecutive_failures and not g.loss_times
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 40])
 def test_zero_latency_target_does_not_divide_by_zero(gateways):
-    spec = api.QueryClass(aim=0.0, patience=5.0, effect=Effect.SAFE, aim_stretch=2.0)
+    spec = api.QueryClass(latency_target=0.0, time_budget=5.0, effect=Effect.SAFE, target_per_work=2.0)
     g = gateway("a", "b", classes=(spec, spec), gateways=gateways, **COLD)
     list_as_cold(g, 1.0, "b")
     assert sends(g.handle(1.1, api.Request("r", 0, 5.0)))
--- a/tests/test_policy_view.py
+++ b/tests/test_policy_view.py
@@ -17,13 +17,13 @@
 def test_own_threads_count_as_pressure_before_the_first_answer():
     g = gateway("a")
     send_requests(g, 60)
-    assert len(g.fleet.engines["a"].out) < 40
+    assert len(g.fleet.engines["a"].in_flight) < 40
 
 
 def test_unresponsive_engine_is_probed_ejected_and_returns_by_a_probe():
     g = gateway("a", "b", may_probe=True)
     send_requests(g, 1)
-    silent = g.queries["r0"].engine.entry.engine
+    silent = g.pending["r0"].engine.entry.engine
     g.classes[0].latency = 0.2
     actions = timers(g, 3.7)
     assert api.Probe(silent) in actions and g.fleet.engines[silent].healthy
@@ -38,7 +38,7 @@
 
 def test_engine_that_is_back_is_not_probed_again():
     g = gateway("a", "b", "c", may_probe=True)
-    g.rung = 1  # with an entry gap the timers go on
+    g.gap_level = 1  # with an entry gap the timers go on
     g._eject(g.fleet.engines["a"], "test")
     g.fleet.engines["a"].penalty = 0.0  # an answer arrived meanwhile
     g.handle(0.1, api.ClientGone("none"))
@@ -65,7 +65,7 @@
         actions = g.handle(0.2, AttemptEnded("r0", 0, "a", outcome, 0.1, outcome is Outcome.OK))
         assert g.fleet.engines["a"].healthy and (outcome is Outcome.OK or api.Probe("a") in actions), at
         g.handle(0.2, api.ClientGone("r0"))
-        g.out.clear(), g.fleet.engines["a"].out.clear()
+        g.in_flight.clear(), g.fleet.engines["a"].in_flight.clear()
     send_requests(g, 1)
     g.handle(0.2, AttemptEnded("r0", 0, "a", Outcome.ERROR, 0.1, False))
     assert not g.fleet.engines["a"].healthy  # five in a row are not chance
@@ -75,18 +75,20 @@
     for outcome, healthy in ((Outcome.ERROR, False), (Outcome.RESET, False), (Outcome.FULL, True)):
         g = gateway("a", "b", "c")
         send_requests(g, 1)
-        name = g.queries["r0"].engine.entry.engine
+        name = g.pending["r0"].engine.entry.engine
         g.handle(0.2, AttemptEnded("r0", 0, name, outcome, 0.1, False))
         assert g.fleet.engines[name].healthy is healthy
         assert (g.fleet.engines[name].full_until > 0.2) is healthy
 
 
 def test_state_of_ended_requests_is_removed():
-    keyed = api.QueryClass(aim=3.0, patience=9.0, effect=Effect.KEYED, dedup_window=5.0, in_order=True)
+    keyed = api.QueryClass(
+        latency_target=3.0, time_budget=9.0, effect=Effect.KEYED, dedup_window=5.0, in_order=True
+    )
     g = gateway(
         "a",
         classes=(keyed,),
-        key_rest=0.3,
+        key_backoff=0.3,
         cold_for=5.0,
         fall_window=1.0,
         fall_multiple=3.0,
@@ -107,9 +109,9 @@
         for x in (
             g.fleet.engines,
             g.fleet.affinity_orders,
-            g.queries,
-            g.out,
-            g.held,
+            g.pending,
+            g.in_flight,
+            g.queued,
             g.key_queues.by_key,
             g.key_backoff_until,
             g.arrival_times,
@@ -130,7 +132,7 @@
 
 
 def test_memory_grants_follow_the_memory_reported_in_answers():
-    g = gateway("a", grants_heeded=True, costs_told=True)
+    g = gateway("a", honors_grants=True, reports_work=True)
     for i in range(60):
         g.handle(i, api.Request(f"r{i}", 0, 5.0, memory_mb=100.0))
         g.handle(i + 0.1, AttemptEnded(f"r{i}", 0, "a", Outcome.OK, 0.1, True, work=0.1, memory_mb=200.0))
@@ -159,7 +161,7 @@
     for i in range(200):
         g.handle(0.1 * i, api.Request(f"r{i}", 0, 5.0))
         end = AttemptEnded(f"r{i}", 0, "a", Outcome.OK, 0.05, True, report=(16.0,))
-        messages += [a for a in g.handle(0.1 * i + 0.05, end) if isinstance(a, api.Tell)]
+        messages += [a for a in g.handle(0.1 * i + 0.05, end) if isinstance(a, api.SendGossip)]
     assert messages and len(messages) <= 2 + 200 * GOSSIP_RESULT_SHARE / 0.01 * 256 / 9 / GOSSIP_COST
     other = gossiping_gateway(9, "a")
     other.handle(20.0, api.PeerMessage(1, messages[-1].data))
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -178,13 +178,13 @@
     def scene() -> None:
         scenario.plan = [True]
         conn = pools.take(peer, time.monotonic() + LONG)
-        assert scenario.dials == 2 and (pools.count, peer.dialing) == (2, 1) and peer.failed_at < 0
+        assert scenario.dials == 2 and (pools.count, peer.connecting) == (2, 1) and peer.failed_at < 0
         if then == "comes up":
             scenario.gate.set()
         elif then == "retired":
             peer.retired = True
             pools.retire(peer)
-        until(scenario, lambda: not peer.dialing)
+        until(scenario, lambda: not peer.connecting)
         scenario.round()
         assert pools.count == 1 + len(peer.idle) and len(peer.idle) == (then == "comes up")
         assert not pools.late_dials and conn.open
@@ -201,7 +201,7 @@
         with pytest.raises(Refused) as found:
             pools.take(peer, time.monotonic() + LONG)
         scenario.round()
-        assert pools.count == peer.dialing == 0
+        assert pools.count == peer.connecting == 0
         return found.value
 
     def scene() -> None:
@@ -277,7 +277,7 @@
         taken = sum(isinstance(got, Connection) for got in scenario.got.values())
         assert taken == (how != "interrupted") and scenario.dials == (2 if how == "up" else 1)
         assert pools.count == taken + len(peer.idle) == scenario.dials and not pools.late_dials
-        assert peer.dialing == 0
+        assert peer.connecting == 0
 
     scenario.play(scene)
 
@@ -291,7 +291,7 @@
         until(scenario, lambda: scenario.dials == 2)
         scenario.end_wait(task, "interrupted")
         scenario.round()
-        assert scenario.pools.count == scenario.peer.dialing == 0 and not scenario.pools.late_dials
+        assert scenario.pools.count == scenario.peer.connecting == 0 and not scenario.pools.late_dials
 
     scenario.play(scene)
 
--- a/tests/test_reported_headroom.py
+++ b/tests/test_reported_headroom.py
@@ -8,7 +8,7 @@
 from aspenrill.api import AttemptEnded, Effect, EngineEntry, EngineState, ListMode, ListUpdate, Outcome
 from aspenrill.control import Gateway
 
-LOOKUP = api.QueryClass(aim=5.0, patience=9.0, effect=Effect.SAFE)
+LOOKUP = api.QueryClass(latency_target=5.0, time_budget=9.0, effect=Effect.SAFE)
 
 
 def gateway(**more) -> Gateway:
@@ -29,7 +29,7 @@
     )
     for engine in g.live[1:]:  # only "a" is reachable, as in a partition
         engine.ejected_until = 1e9
-    g.ordinary, g.next_gap_check_at = 5.0, 1e9  # under pressure, and without an entry gap
+    g.fleet_slowdown, g.next_gap_check_at = 5.0, 1e9  # under pressure, and without an entry gap
     return g
 
 
@@ -42,7 +42,7 @@
             number += 1
             g.handle(now, api.Request(f"r{number}", 0, 9.0))
         report = (float(engine.threads - 1 + others_in_flight),)  # without the one that ends now
-        oldest = next(iter(engine.out))
+        oldest = next(iter(engine.in_flight))
         g.handle(now, AttemptEnded(oldest, 0, "a", Outcome.OK, 0.3, True, report=report))
     return engine.threads
 
@@ -57,7 +57,7 @@
 
 
 def test_with_priorities_the_limit_for_long_work_is_unchanged():
-    g = gateway(priorities_heeded=True)
+    g = gateway(honors_priorities=True)
     g.mix._work_per_worth, g.mix.update = 1e-9, lambda: None  # no request counts as short
     assert 9 <= out_after(g, 0) <= 13
 
@@ -65,11 +65,11 @@
 def test_old_report_is_ignored():
     g = gateway()
     engine, before = g.fleet.engines["a"], out_after(g, 0)
-    for name in list(g.held):
+    for name in list(g.queued):
         g.handle(4.1, api.ClientGone(name))
-    for name in list(engine.out)[5:]:
+    for name in list(engine.in_flight)[5:]:
         g.handle(4.1, AttemptEnded(name, 0, "a", Outcome.OK, 0.3, True))
-    g.ordinary = 5.0
+    g.fleet_slowdown = 5.0
     assert engine.threads == 5 < before
     for number in range(12):
         g.handle(7.0, api.Request(f"late{number}", 0, 9.0))
@@ -81,7 +81,7 @@
 
 
 def reader_gateway(effect=Effect.SAFE) -> Gateway:
-    reader = api.QueryClass(aim=2.0, patience=9.0, effect=effect, waits_for_loads=True)
+    reader = api.QueryClass(latency_target=2.0, time_budget=9.0, effect=effect, waits_for_loads=True)
     g = Gateway(api.Settings(classes=(reader,), cores_by_kind=(8,), may_cancel=True), 1, 0.0)
     g.handle(
         0.0, ListUpdate(ListMode.REMEMBERED, tuple(EngineEntry(name, EngineState.LIVE) for name in "abc"))
@@ -113,10 +113,10 @@
 @pytest.mark.parametrize("heeded, limited", [(False, True), (True, False)])
 def test_with_an_entry_gap_and_without_priorities_attempts_have_a_timeout(heeded, limited):
     g = Gateway(
-        api.Settings(classes=(LOOKUP,), cores_by_kind=(8,), may_cancel=True, priorities_heeded=heeded), 1, 0.0
+        api.Settings(classes=(LOOKUP,), cores_by_kind=(8,), may_cancel=True, honors_priorities=heeded), 1, 0.0
     )
     g.handle(0.0, ListUpdate(ListMode.REMEMBERED, (EngineEntry("a", EngineState.LIVE),)))
     for gap_level in (0, 2):
-        g.rung, g.base_gap = gap_level, 0.0
+        g.gap_level, g.base_gap = gap_level, 0.0
         attempt = sends(g.handle(1.0, api.Request(f"r{gap_level}", 0, 9.0)))[0]
         assert (attempt.timeout > 0) == (limited and gap_level > 0)
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -146,7 +146,7 @@
     logged = []
     engines = SimpleNamespace(retire=lambda peer: None)
     owner = Owner(Hub(lambda text: logged.append(text)), world.SETTINGS, 1, engines)
-    owner.most_engines = 3
+    owner.max_engines = 3
     members = [Member(f"e{i}", ("127.0.0.1", 80 + i), EngineState.LIVE) for i in range(5)]
     owner.take(News(1, True, tuple(members[:3])))
     draining = replace(members[0], state=EngineState.DRAINING)
