--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -45,10 +45,10 @@
         self.healthy = self.accepting = True
         self.closed = False  # the process exits: every request has its answer
         self.faults = 0
-        self.most_engines = MOST_ENGINES  # in the list: it bounds the memory
-        self.tell: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
-        self.kept: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
-        self.fleet: Any = None  # `fleet.request_feed.RequestFeed`, which counts arrivals and ends
+        self.max_engines = MAX_ENGINES  # in the list: it bounds the memory
+        self.send_gossip: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
+        self.answer_cache: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
+        self.fleet_feed: Any = None  # `fleet.request_feed.RequestFeed`, which counts arrivals and ends
 
     def run(self) -> None:
         """Process events until the process exits."""
@@ -110,9 +110,9 @@
     def _start_request(self, request: ClientRequest) -> None:
         if self.closed:
             return  # `_on_closing` has answered it
-        if self.fleet is not None:
-            self.fleet.on_request(request)
-        patience = request.deadline - time.monotonic()  # less what it waited here
+        if self.fleet_feed is not None:
+            self.fleet_feed.on_request(request)
+        time_budget = request.deadline - time.monotonic()  # less what it waited here
         self._decide(
             api.Request(
                 request.id,
@@ -138,10 +138,10 @@
             self.request_log.attempt_ended(attempt, outcome)
         ok = outcome is api.Outcome.OK
         freed = None
-        if self.kept is not None:
-            freed = self.kept.ended(request, end.result if ok else None, self.kept.clock())
-        if ok and self.fleet is not None:
-            self.fleet.on_attempt_ended(end)
+        if self.answer_cache is not None:
+            freed = self.answer_cache.ended(request, end.result if ok else None, self.answer_cache.clock())
+        if ok and self.fleet_feed is not None:
+            self.fleet_feed.on_attempt_ended(end)
         if ok and request.open:
             if now <= request.deadline + EXPIRY_GRACE:
                 self._final(request, Served(end.result))
@@ -210,8 +210,8 @@
         self._count_connect(end.peer, end.outcome)
         if end.peer.retired:
             return  # the probe went to the previous process with this id
-        if self.fleet is not None:
-            self.fleet.on_probe_result(end)
+        if self.fleet_feed is not None:
+            self.fleet_feed.on_probe_result(end)
         self._decide(api.ProbeEnded(end.peer.engine, end.outcome, end.latency, end.report))
 
     def _on_gossip_received(self, heard: books.GossipReceived) -> None:
@@ -311,8 +311,8 @@
                 request = self.open.get(request_id)
                 if request is not None:
                     self.request_log.refused(request, reason)
-                if self.fleet is not None and request is not None:
-                    self.fleet.on_refused(request)
+                if self.fleet_feed is not None and request is not None:
+                    self.fleet_feed.on_refused(request)
                 self._final(request, Refused(retry_after))
             case api.Fail(request_id, reason):
                 request = self.open.get(request_id)
--- a/aspenrill/engines/http.py
+++ b/aspenrill/engines/http.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..api import Effect, NoteKind, Outcome, Settings
-from ..core.books import Attempt, Noted, Peer, Probed, Result
+from ..core.books import Attempt, AttemptNoted, Peer, ProbeFinished, Result
 from ..net.address import format_address
 from ..net.conn import Connection, time_left
 from ..net.connecting import Refused
--- a/aspenrill/fleet/request_feed.py
+++ b/aspenrill/fleet/request_feed.py
@@ -35,19 +35,19 @@
 
     # ---- called by the owner ----------------------------------------------------------------------------
 
-    def on_request(self, call: Call) -> None:
+    def on_request(self, call: ClientRequest) -> None:
         """A request is passed to the decision module."""
         self._requested[call.cls, call.tenant] += 1
 
-    def on_refused(self, call: Call) -> None:
+    def on_refused(self, call: ClientRequest) -> None:
         """A request was refused."""
         self._refused[call.cls, call.tenant] += 1
 
-    def on_probe_result(self, end: Probed) -> None:
+    def on_probe_result(self, end: ProbeFinished) -> None:
         """A probe has ended."""
         self._probed.append((end.peer.engine, end.outcome is api.Outcome.OK))
 
-    def on_attempt_ended(self, end: Ended) -> None:
+    def on_attempt_ended(self, end: AttemptFinished) -> None:
         """An attempt has succeeded: count what a load has written, by the bytes of its statement."""
         call, groups = end.attempt.client_request, self.components.groups
         if groups is None or call.data_set is None or not self.owner.settings.classes[call.cls].is_load:
--- a/aspenrill/fronts/tds.py
+++ b/aspenrill/fronts/tds.py
@@ -96,7 +96,7 @@
         self.service, self.conn = service, conn
         self.login: tds.Login | None = None
         self.mapping: LoginMapping | None = None
-        self.request: Call | None = None
+        self.request: ClientRequest | None = None
         self.writing = False  # an answer is being written
         self.attention = False  # the answer being written has been cancelled
         self.closing = False  # no further requests are accepted
--- a/standins/purging.py
+++ b/standins/purging.py
@@ -13,7 +13,7 @@
 from bisect import bisect, insort
 from collections.abc import Mapping, Sequence
 
-from aspenrill.core.books import Call, Result
+from aspenrill.core.books import ClientRequest, Result
 from aspenrill.fleet.interface import Agreed, Effect, Notify, Place, Post, View
 from aspenrill.fleet.interface import Store as Saves
 from aspenrill.fleet.kept.front import Joined, Kept
--- a/standins/world.py
+++ b/standins/world.py
@@ -292,7 +292,7 @@
             )
             maps = [
                 tds_front.LoginMapping(
-                    cls if t == 5 else f"{cls}-{t:g}", "*", i, 0, t if t != 5 else spec.patience, "batch"
+                    cls if t == 5 else f"{cls}-{t:g}", "*", i, 0, t if t != 5 else spec.time_budget, "batch"
                 )
                 for i, (cls, spec) in enumerate(zip(CLASSES, SPECS, strict=True))
                 for t in (5, 0.5, 1)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -51,7 +51,7 @@
         script.engines.cancel(attempt)
         script.until(lambda: script.posted)
         assert script.posted[0].outcome is api.Outcome.TIMEOUT and not attempt.task.done
-        assert 0 <= time.monotonic() - attempt.call.deadline
+        assert 0 <= time.monotonic() - attempt.client_request.deadline
         answer_delete.set()
         script.end(attempt)
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -161,7 +161,7 @@
             return found
 
         world.node.pools.acquire = slow
-        delay_events(world, books.Left, lambda left: begun)
+        delay_events(world, books.ClientLeft, lambda left: begun)
         client.send("select 1")
         world.until(lambda: begun and not world.node.owner.open)
         assert not world.engines[0].began
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -178,7 +178,7 @@
     def scene() -> None:
         scenario.plan = [True]
         conn = pools.acquire(peer, time.monotonic() + LONG)
-        assert scenario.dials == 2 and (pools.count, peer.dialing) == (2, 1) and peer.failed_at < 0
+        assert scenario.dials == 2 and (pools.count, peer.connecting) == (2, 1) and peer.failed_at < 0
         if then == "comes up":
             scenario.gate.set()
         elif then == "retired":
