--- a/benchmarks/fleet_authority.py
+++ b/benchmarks/fleet_authority.py
@@ -17,7 +17,7 @@
 
 from aspenrill.fleet.authority import AuthorityPart, Rules
 from aspenrill.fleet.interface import Agreed, Notify, Post, Put
-from standins.cluster import LOOK, Cluster
+from standins.cluster import CHECK_INTERVAL, Cluster
 from standins.faults import Link
 
 TIMEOUT_S = 60.0  # seconds that any condition may take to come about
@@ -28,8 +28,8 @@
 class AuthorityCluster(Cluster):
     """Counts messages by sender, and records when each process was notified of each record.
 
-    Every process has all others as members, and fetches shared state entries from one of them every LOOK
-    seconds: failure detection and gossip belong to another component and are not simulated.
+    Every process has all others as members, and fetches shared state entries from one of them every
+    CHECK_INTERVAL seconds: failure detection and gossip belong to another component and are not simulated.
     """
 
     def __init__(self, seed: int, size: int, voters: int, loss: float) -> None:
@@ -42,14 +42,14 @@
         self.voters = rules.voters
         self.members = {proc.name: proc.member() for proc in self.procs.values()}
 
-    def _look(self, proc) -> None:
-        self._at(LOOK * self._rng.uniform(0.8, 1.2), proc.name, self._look, proc)
+    def _check_membership(self, proc) -> None:
+        self._at(CHECK_INTERVAL * self._rng.uniform(0.8, 1.2), proc.name, self._check_membership, proc)
         if len(proc.known) < len(self.members):
             proc.known |= {name: member for name, member in self.members.items() if name != proc.name}
             proc.parts[0].follow.regroup()
         other = self.procs[self._rng.choice(self.names)]
-        if other.up and self.net.fate(self.now, other.name, proc.name, 100):
-            for entry in list(other.told.get("authority", {}).values()):
+        if other.up and self.net.datagram_delays(self.now, other.name, proc.name, 100):
+            for entry in list(other.published.get("authority", {}).values()):
                 self._entry(proc, entry)
 
     def _effect(self, proc, part, effect) -> None:
@@ -72,7 +72,9 @@
 
     def propose(self, key: str) -> None:
         """Propose a record of 200 bytes at the coordinator."""
-        self.do(self.coordinator(), lambda proc: proc.parts[0].propose(proc.clock(), "test", key, bytes(200)))
+        self.call_component(
+            self.coordinator(), lambda proc: proc.parts[0].propose(proc.clock(), "test", key, bytes(200))
+        )
 
 
 def run_once(seed: int, size: int, voters: int, loss: float) -> dict[str, list[float]]:
--- a/benchmarks/fleet_purges.py
+++ b/benchmarks/fleet_purges.py
@@ -19,8 +19,8 @@
 from aspenrill.fleet.interface import Post
 from aspenrill.fleet.purges import wire
 from standins import cluster
-from standins.cluster import Broken
-from standins.faults import EACH, Link
+from standins.cluster import SimulationError
+from standins.faults import ANY, Link
 from standins.purging import LEASE, build, purge
 
 SIZES = (3, 30, 200, 1100)
@@ -47,10 +47,10 @@
             loads=0.0,
             link=Link(delay_ms=1, jitter_ms=19),
         )
-        self.oracle.loose = 1 << 30  # the oracle checks only after a completion
+        self.oracle.check_steps = 1 << 30  # the oracle checks only after a completion
         self.bytes_sent = 0
         self.origin = ""
-        check_before = self.world.before
+        check_before = self.world.before_effect
 
         def before(proc, part, effect) -> None:
             if proc.name == self.origin and part.name == "purges" and isinstance(effect, Post):
@@ -58,7 +58,7 @@
                     self.bytes_sent += len(effect.body)
             check_before(proc, part, effect)
 
-        self.world.before = before
+        self.world.before_effect = before
 
     def wait_until_ready(self, within: float = 40.0) -> bool:
         """Run until there is a coordinator and all hold leases; False if that takes too long."""
@@ -87,21 +87,21 @@
         victims = [n for n in names if n not in spared]
         match self.fault:
             case "loss 10%":
-                world.net.link(EACH, EACH, LOSSY_LINK)
+                world.net.link(ANY, ANY, LOSSY_LINK)
             case "links 300 ms":
-                world.net.link(EACH, EACH, SLOW_LINK)
+                world.net.link(ANY, ANY, SLOW_LINK)
             case "relay killed" if relay not in spared:
                 world.crash(relay)
             case "member paused" if victims:
                 world.pause(victims[index % len(victims)], 15.0)
             case "site cut" if victims:
-                world.net.part([n for n in victims if world.procs[n].place.site == distant_site])
+                world.net.partition([n for n in victims if world.procs[n].place.site == distant_site])
         if len(names) == 3 and self.fault in ("relay killed", "member paused", "site cut"):
             third = next(n for n in names if n != root)
             {
                 "relay killed": lambda: world.crash(third),
                 "member paused": lambda: world.pause(third, 15.0),
-                "site cut": lambda: world.net.part([third]),
+                "site cut": lambda: world.net.partition([third]),
             }[self.fault]()
         self.origin = root if len(names) == 3 else names[index % 3]
 
@@ -126,7 +126,7 @@
                     else float("inf"),
                 }
             )
-            self.world.calm()
+            self.world.end_faults()
             self.world.run(12.0 if self.fault in ("member paused", "site cut") else 1.0)
         return rows
 
@@ -138,7 +138,7 @@
         run = PurgeRun(seed, size, fault)
         try:
             rows += run.run_purges()
-        except Broken as broken:
+        except SimulationError as broken:
             if "a purge after" not in str(broken):
                 raise
             stale_answers += 1
@@ -172,7 +172,7 @@
     )
     rows = []
     for size in options.sizes:
-        cluster.LOOK = 0.5 if size < 1000 else 2.0  # the check of each process visits all others
+        cluster.CHECK_INTERVAL = 0.5 if size < 1000 else 2.0  # the check of each process visits all others
         for fault in FAULTS:
             row = measure(size, fault, max(1, round(options.runs * RUNS.get(size, 3))))
             rows.append(row)
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -20,14 +20,14 @@
 from typing import Any
 
 from standins.lockstep import (
-    Peers,
+    LockstepPeers,
     TdsClient,
     ThriftClient,
-    first_page,
-    http_answer,
-    http_split,
-    probe_answer,
-    session_answer,
+    first_page_response,
+    http_request_size,
+    http_response,
+    probe_response,
+    session_response,
 )
 
 HERE = Path(__file__).resolve().parent
@@ -116,8 +116,8 @@
     """
 
     def __init__(self, root: Path, mode: str, protocol: str, preload: Path | None) -> None:
-        self.peers, self.protocol, self.mode = Peers(), protocol, mode
-        self.peers.answer = probe_answer if protocol == "thrift" else session_answer
+        self.peers, self.protocol, self.mode = LockstepPeers(), protocol, mode
+        self.peers.immediate_reply = probe_response if protocol == "thrift" else session_response
         self.folder = Path(tempfile.mkdtemp())
         port, engine = free_port(), self.peers.engine.getsockname()[1]
         self.address = ("127.0.0.1", port)
@@ -197,7 +197,7 @@
     def read_counters(self) -> dict[str, float]:
         """The child's counters so far."""
         if self.mode != "cpu":
-            self.peers.rest()
+            self.peers.wait_idle()
         os.kill(self.child.pid, signal.SIGUSR2)
         while b"\n" not in self._counter_buffer:
             if not select.select([self.counters_fd], [], [], 20)[0]:
@@ -233,9 +233,9 @@
 
         Pages after the first are requested by the program one by one.
         """
-        with self.peers.together():
+        with self.peers.delivered_at_once():
             for client in clients:
-                client.wire.sock.sendall(
+                client.connection.sock.sendall(
                     b"".join(
                         client.call(
                             class_name, "select id, what, state from sales_17.orders where id = 123456"
@@ -243,15 +243,15 @@
                         for _ in range(requests_per_client)
                     )
                 )
-        received = self.peers.requests(requests_per_client * len(clients), http_split)
-        with self.peers.together():
+        received = self.peers.requests(requests_per_client * len(clients), http_request_size)
+        with self.peers.delivered_at_once():
             for wire, _ in received:
-                wire.sock.sendall(first_page(pages[0], len(pages)))
+                wire.sock.sendall(first_page_response(pages[0], len(pages)))
         for page_number in range(1, len(pages)):
-            page_requests = self.peers.requests(requests_per_client * len(clients), http_split)
-            with self.peers.together():
+            page_requests = self.peers.requests(requests_per_client * len(clients), http_request_size)
+            with self.peers.delivered_at_once():
                 for wire, _ in page_requests:
-                    wire.sock.sendall(http_answer(pages[page_number], f"X-Batch: {page_number}\r\n"))
+                    wire.sock.sendall(http_response(pages[page_number], f"X-Batch: {page_number}\r\n"))
         for client in clients:
             for _ in range(requests_per_client):
                 self.expect_served(client)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -20,7 +20,7 @@
 from multiprocessing.connection import Connection
 from pathlib import Path
 
-from standins.lockstep import ThriftClient, first_page, http_split, probe_answer
+from standins.lockstep import ThriftClient, first_page_response, http_request_size, probe_response
 
 from .path import LOOKUP_ROWS, ROOT, Harness, worktree_of_revision
 
@@ -29,7 +29,7 @@
 CONNECTIONS = 8  # of each client process
 LATENCY_TARGET_S = 1.0  # seconds
 LOAD_STEPS = (0.5, 0.75, 1.0, 1.25, 1.5, 2.0, 2.5, 3.0)  # of the closed-loop throughput
-ANSWER_PAGE = first_page(LOOKUP_ROWS)
+ANSWER_PAGE = first_page_response(LOOKUP_ROWS)
 
 
 def run_engine(listening: socket.socket) -> None:
@@ -53,8 +53,8 @@
             try:
                 data = sock.recv(65536)
                 buffer += data
-                while size := http_split(bytes(buffer)):
-                    sock.sendall(probe_answer(bytes(buffer[:size])) or ANSWER_PAGE)
+                while size := http_request_size(bytes(buffer)):
+                    sock.sendall(probe_response(bytes(buffer[:size])) or ANSWER_PAGE)
                     del buffer[:size]
             except OSError:
                 data = b""
@@ -74,12 +74,12 @@
     good = late = refused = offered = next_client = unsent = 0
     latencies: list[float] = []
     for client in clients:
-        client.wire.sock.setblocking(False)
+        client.connection.sock.setblocking(False)
     poll = select.poll()
     index_by_fd = {}
     for index, client in enumerate(clients):
-        poll.register(client.wire.sock, select.POLLIN)
-        index_by_fd[client.wire.sock.fileno()] = index
+        poll.register(client.connection.sock, select.POLLIN)
+        index_by_fd[client.connection.sock.fileno()] = index
     began = time.monotonic()
     deadline = began + seconds
     pending: list[dict[int, float]] = [{} for _ in clients]
@@ -92,7 +92,7 @@
             return False
         data = clients[index].call("par-lookup", "select id, what from sales_17.orders where id = 12", 2000)
         try:
-            clients[index].wire.sock.send(data)
+            clients[index].connection.sock.send(data)
         except OSError:
             unsent += 1
             return False
@@ -111,7 +111,7 @@
         for fd, _ in poll.poll(1):
             index = index_by_fd[fd]
             try:
-                buffers[index] += clients[index].wire.sock.recv(65536)
+                buffers[index] += clients[index].connection.sock.recv(65536)
             except OSError:
                 continue
             while len(buffers[index]) >= 4 and len(buffers[index]) >= 4 + (
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -25,7 +25,13 @@
 from hdrh.histogram import HdrHistogram
 
 from aspenrill.wire import tds
-from standins.lockstep import TdsClient, first_page, http_answer, http_split, tds_split
+from standins.lockstep import (
+    TdsClient,
+    first_page_response,
+    http_request_size,
+    http_response,
+    tds_message_size,
+)
 
 from .harness import HERE, LOOKUP_ROWS, ROOT, Harness
 
@@ -82,8 +88,8 @@
 def refused_request(harness: Harness) -> None:
     """A request with too little time left: the decision module refuses it without an attempt."""
     client = harness.clients[0]
-    with harness.peers.together():
-        client.wire.sock.sendall(client.call("par-lookup", "select 1 from sales_17.orders", 100))
+    with harness.peers.delivered_at_once():
+        client.connection.sock.sendall(client.call("par-lookup", "select 1 from sales_17.orders", 100))
     message = client.reply()
     if not message.args or 1 not in message.args:
         raise RuntimeError(f"not refused: {message}")
@@ -97,25 +103,25 @@
     for _ in range(9):
         single_request(harness)
     client = harness.clients[0]
-    with harness.peers.together():
-        client.wire.sock.sendall(client.call("par-lookup", "select 1 from sales_17.orders"))
-    [(wire, _)] = harness.peers.requests(1, http_split)
-    with harness.peers.together():
-        wire.sock.sendall(http_answer(b"", "X-Shed: 1\r\n", 503))
-    [(wire, _)] = harness.peers.requests(1, http_split)
-    with harness.peers.together():
-        wire.sock.sendall(first_page(LOOKUP_ROWS))
+    with harness.peers.delivered_at_once():
+        client.connection.sock.sendall(client.call("par-lookup", "select 1 from sales_17.orders"))
+    [(wire, _)] = harness.peers.requests(1, http_request_size)
+    with harness.peers.delivered_at_once():
+        wire.sock.sendall(http_response(b"", "X-Shed: 1\r\n", 503))
+    [(wire, _)] = harness.peers.requests(1, http_request_size)
+    with harness.peers.delivered_at_once():
+        wire.sock.sendall(first_page_response(LOOKUP_ROWS))
     harness.expect_served(client)
 
 
 def tds_exchange(harness: Harness, client: TdsClient, rows: int) -> None:
     """One SQL batch and its answer of so many rows."""
-    with harness.peers.together():
+    with harness.peers.delivered_at_once():
         statement = "select id, what from sales_17.orders"
-        client.wire.sock.sendall(tds.packets(tds.SQL_BATCH, tds.sql_batch(statement)))
-    [(wire, _)] = harness.peers.requests(1, tds_split)
+        client.connection.sock.sendall(tds.packets(tds.SQL_BATCH, tds.sql_batch(statement)))
+    [(wire, _)] = harness.peers.requests(1, tds_message_size)
     row = tds.text_row(["1234567", "a division of linen, named", "served"])
-    with harness.peers.together():
+    with harness.peers.delivered_at_once():
         wire.sock.sendall(
             tds.packets(tds.REPLY, tds.text_columns(["a", "b", "c"]) + row * rows + tds.done(rows=rows))
         )
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -27,8 +27,8 @@
 from aspenrill.resolver.cache import Lifetimes
 from aspenrill.resolver.lookup import Patience
 from aspenrill.state import Fleet
-from standins.nameserver import Act, NameServer
-from standins.scene import play
+from standins.nameserver import AnswerBehaviour, NameServer
+from standins.scenario import run_scenario
 from standins.world import World
 
 SERVICE = "_data._tcp.bench.example."
@@ -85,19 +85,19 @@
             announce(server, [*steady, other])
             announced, count = time.monotonic(), len(other.began)
             while len(other.began) == count:
-                client.ask("select 1")
+                client.request("select 1")
             first_delays.append(other.began[count][0] - announced)
             deadline = time.monotonic() + 0.4
             while time.monotonic() < deadline:
-                client.ask("select 1")
+                client.request("select 1")
             announce(server, steady)
             withdrawn = time.monotonic()
             deadline = withdrawn + 2.2
             while time.monotonic() < deadline:
-                client.ask("select 1")
+                client.request("select 1")
             last_delays.append(max(0.0, other.began[-1][0] - withdrawn))
 
-    play(world.hub, scenario)
+    run_scenario(world.hub, scenario)
     yield "announced to its first request", format_spread(first_delays, "s")
     yield "withdrawn to its last request", format_spread(last_delays, "s")
 
@@ -223,15 +223,15 @@
             hub.sleep(0.05)
         results.append(time.monotonic() - began)
         hub.sleep(ttl)
-        count, cpu, measured_from = len(server.asked), time.process_time(), time.monotonic()
+        count, cpu, measured_from = len(server.questions), time.process_time(), time.monotonic()
         hub.sleep(60 * minutes)
         rate = 60 / (time.monotonic() - measured_from)
-        results.extend(((len(server.asked) - count) * rate, (time.process_time() - cpu) * rate))
-        seconds = [int(a.at) for a in server.asked[count:]]
+        results.extend(((len(server.questions) - count) * rate, (time.process_time() - cpu) * rate))
+        seconds = [int(a.at) for a in server.questions[count:]]
         results.append(max(seconds.count(s) for s in set(seconds)))
 
     results: list[float] = []
-    play(hub, scenario)
+    run_scenario(hub, scenario)
     minimum = 3 * (targets + 1) * 60 / ttl
     yield f"all {targets:,} engines known to 3 front ends after", f"{results[0]:.2f} s"
     yield (
@@ -250,23 +250,23 @@
 
     def scenario() -> None:
         world.until(lambda: len(world.node.owner.peers) == 2)
-        server.act = lambda question: Act(lose=True)
-        client, deadline, questions_before = world.client(), time.monotonic() + seconds, len(server.asked)
+        server.behaviour = lambda question: AnswerBehaviour(drop=True)
+        client, deadline, questions_before = world.client(), time.monotonic() + seconds, len(server.questions)
         min_listed = 9
         while time.monotonic() < deadline:
-            outcomes.append(client.ask("select 1").kind)
+            outcomes.append(client.request("select 1").kind)
             min_listed = min(min_listed, sum(p.takes_work for p in world.node.owner.peers.values()))
             world.hub.sleep(0.01)
         results.append(f"{len(outcomes)}, of them served {outcomes.count('served')}")
         results.append(f"{min_listed} of 2")
-        results.append(f"{len(server.asked) - questions_before}")
+        results.append(f"{len(server.questions) - questions_before}")
         announce(server, world.engines)
-        server.act = lambda question: Act()
+        server.behaviour = lambda question: AnswerBehaviour()
         began = time.monotonic()
         world.until(lambda: len(world.node.owner.peers) == 3, 60)
         results.append(f"{time.monotonic() - began:.1f} s")
 
-    play(world.hub, scenario)
+    run_scenario(world.hub, scenario)
     yield from zip(
         (
             f"requests in {seconds:.0f} s without an answer",
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -59,7 +59,7 @@
             return Reply("served", [tuple(line.split("\t")) for line in text.split("\n")[:-1]])
         return Reply("refused" if 1 in message.args else "failed")
 
-    def ask(self, statement: str, within: float = 10.0, **changed: str | None) -> Reply:
+    def request(self, statement: str, within: float = 10.0, **changed: str | None) -> Reply:
         """Send a request and read its answer."""
         self.send(statement, **changed)
         return self.read(within)
@@ -108,7 +108,7 @@
             return Reply({50001: "refused", 50002: "failed"}.get(answer.error[0], "broken"))
         return Reply("served", [tuple(row) for row in tds.rows_as_text(b"".join(answer.tokens))])
 
-    def ask(self, statement: str, within: float = 10.0) -> Reply:
+    def request(self, statement: str, within: float = 10.0) -> Reply:
         """Send a SQL batch and read its answer."""
         self.send(statement)
         return self.read(within)
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -6,19 +6,18 @@
     world = Cluster(seed, ["a", "b", "c"], make, checks=[total_capacity_is_never_exceeded])
     world.play(schedule(seed, world.names, 60.0))  # crashes, pauses, partitions; all end at 0.7 of the time
     world.run(60.0)                           # seconds; `until(predicate, within)` stops as soon as it holds
-    world.do("a", lambda proc: proc.part("mine").ask(proc.clock()), "mine")  # a call from outside
+    world.call_component("a", lambda proc: proc.part("mine").ask(proc.clock()), "mine")  # a call from outside
 
 A check is called with the world after every step and raises AssertionError. What it or a component raises is
-raised again as `Broken` with seed and time; the same seed repeats the run. `world.net`, a `faults.Weather`,
-has loss, delays, cuts and partitions; `world.before` is called with (proc, part, effect) before each effect
-and may inject any fault. Effects are carried out in order, as in a real process; a Store that fails drops the
-remaining ones of its call, and `Notify(Agreed)` of the component "authority" goes to the components of that
-process whose `kinds` include it. All facts are in `proc.facts` as (world time, component name, fact). At each
-start a process gets a clock with any offset and a rate off by up to MAX_CLOCK_DRIFT, which runs on while the
-process is paused.
+raised again as `SimulationError` with seed and time; the same seed repeats the run. `world.net`, a
+`faults.NetworkFaults`, has loss, delays, cuts and partitions; `world.before_effect` is called with (proc,
+part, effect) before each effect and may inject any fault. Effects are carried out in order, as in a real
+process; a Store that fails drops the remaining ones of its call, and `Notify(Agreed)` of the component
+"authority" goes to the components of that process whose `kinds` include it. All facts are in `proc.facts` as
+(time, component, fact). Each start draws a clock with any offset and a rate that is off by up to DRIFT.
 
 Membership comes from an oracle that is late and may be wrong: each observer suspects a process that it cannot
-reach in both directions, later takes it for dead, and for alive once it can reach it again.
+reach both ways, later takes it for dead, and for alive once it can reach it again.
 """
 
 from __future__ import annotations
@@ -47,10 +46,10 @@
     Store,
 )
 
-from .faults import CALM, Link, Weather
-from .proc import Broken, Proc
+from .faults import DEFAULT_LINK, Link, NetworkFaults
+from .proc import Proc, SimulationError
 
-LOOK = 0.5  # seconds between two membership checks of a process
+CHECK_INTERVAL = 0.5  # seconds between two membership checks of a process
 ENTRY_SPREAD = 0.5  # seconds within which an entry reaches all reachable processes
 MAX_QUEUED_CALLS = 4000  # calls queued for a paused process; later ones are lost
 
@@ -65,13 +64,13 @@
         make: Callable[[str, random.Random], Sequence[Component]],
         places: Mapping[str, Place] | None = None,
         checks: Sequence[Callable[[Cluster], None]] = (),
-        link: Link = CALM,
+        link: Link = DEFAULT_LINK,
         garbage: float = 0.0,
     ) -> None:
         self.seed, self.now, self.make, self.checks = seed, 0.0, make, list(checks)
-        self.net = Weather(seed, link)
+        self.net = NetworkFaults(seed, link)
         self.garbage = garbage  # share of messages that are followed by a truncated copy
-        self.before: Callable[[Proc, Component, Effect], None] | None = None
+        self.before_effect: Callable[[Proc, Component, Effect], None] | None = None
         self.steps = 0
         self._rng = random.Random(f"{seed}/world")
         self._heap: list[tuple[float, int, str, int, Callable, tuple]] = []
@@ -110,10 +109,10 @@
 
     def step(self) -> None:
         """Run the next event, then all checks."""
-        at, _, name, life, call, args = heapq.heappop(self._heap)
+        at, _, name, start_count, call, args = heapq.heappop(self._heap)
         self.now = max(self.now, at)
         proc = self.procs.get(name)
-        if proc is not None and (not proc.up or proc.life != life):
+        if proc is not None and (not proc.up or proc.start_count != start_count):
             return
         if proc is not None and proc.paused:
             if len(proc.queued_calls) < MAX_QUEUED_CALLS:
@@ -125,12 +124,14 @@
             for check in self.checks:
                 check(self)
         except Exception as error:
-            raise Broken(f"seed {self.seed}, {self.now:.3f} s: {type(error).__name__}: {error}") from error
+            raise SimulationError(
+                f"seed {self.seed}, {self.now:.3f} s: {type(error).__name__}: {error}"
+            ) from error
 
     def _at(self, delay: float, name: str, call: Callable, *args: Any) -> None:
-        life = self.procs[name].life if name else 0
+        start_count = self.procs[name].start_count if name else 0
         self._count += 1
-        heapq.heappush(self._heap, (self.now + delay, self._count, name, life, call, args))
+        heapq.heappush(self._heap, (self.now + delay, self._count, name, start_count, call, args))
 
     def play(self, script: Iterable[tuple]) -> None:
         """Schedule faults: (seconds from now, method of the world or of `net`, its arguments ...)."""
@@ -148,7 +149,7 @@
         proc = self.procs[name]
         if proc.up:
             return
-        proc.life += 1
+        proc.start_count += 1
         proc.incarnation += 1
         proc.reset()
         proc.clock_rate = 1 + MAX_CLOCK_DRIFT * self._rng.choice(
@@ -156,26 +157,26 @@
         )
         proc.clock_zero = self._rng.uniform(0.0, 1e6)
         if disk == "lost":
-            proc.kept.clear()
+            proc.stored_records.clear()
         elif disk == "damaged":
-            for records in proc.kept.values():
+            for records in proc.stored_records.values():
                 for key in records:
                     records[key] = records[key][: len(records[key]) // 2]
         proc.up, proc.paused, proc.refused, proc.place = True, False, None, place or proc.place
         self._join(proc)
-        proc.parts = tuple(self.make(name, random.Random(f"{self.seed}/{name}/{proc.life}")))
+        proc.parts = tuple(self.make(name, random.Random(f"{self.seed}/{name}/{proc.start_count}")))
         for part in proc.parts:
             if not proc.up:
                 return
             try:
-                effects = part.on_start(proc.clock(), proc, dict(proc.kept.get(part.name, {})))
+                effects = part.on_start(proc.clock(), proc, dict(proc.stored_records.get(part.name, {})))
             except Trouble as error:
                 proc.refused = error
                 self.crash(name)
                 return
             self._apply_effects(proc, part, effects)
             self._at(self._rng.random() * part.period / proc.clock_rate, name, self._tick, proc, part)
-        self._at(self._rng.random() * 0.1, name, self._look, proc)
+        self._at(self._rng.random() * 0.1, name, self._check_membership, proc)
 
     def crash(self, name: str) -> None:
         """Kill a process as by SIGKILL; its disk is kept."""
@@ -188,17 +189,17 @@
         proc = self.procs[name]
         if proc.up and not proc.paused:
             proc.paused = True
-            self._at(seconds, "", self._resume, proc, proc.life)
+            self._at(seconds, "", self._resume, proc, proc.start_count)
 
     def leave(self, name: str) -> None:
         """Shut a process down as by SIGTERM; the processes that it can reach are notified."""
         proc = self.procs[name]
         if not proc.up or proc.paused:
             return
-        life = proc.life
+        start_count = proc.start_count
         for part in proc.parts:
             self._apply_effects(proc, part, part.on_leave(proc.clock()))
-        if not proc.up or proc.life != life or proc.paused:
+        if not proc.up or proc.start_count != start_count or proc.paused:
             return  # a fault was injected during its shutdown
         self._announce_leave(proc)
         self.crash(name)
@@ -207,31 +208,31 @@
         """Set the state of a process's disk: `ok` or `full`."""
         self.procs[name].disk = state
 
-    def misjudge(self, name: str, about: str, state: State, seconds: float) -> None:
+    def force_state(self, name: str, about: str, state: State, seconds: float) -> None:
         """Make a process take another for suspect, dead or alive, whatever is true."""
         proc = self.procs[name]
         proc.forced_states[about] = state, self.now + seconds
 
-    def trip(self, name: str, effects: int, what: str, seconds: float = 0.0) -> None:
+    def fail_after(self, name: str, effects: int, what: str, seconds: float = 0.0) -> None:
         """Inject `crash` or `pause` after so many more effects of its components, also within a call."""
-        self.procs[name].trip = effects, what, seconds
+        self.procs[name].planned_fault = effects, what, seconds
 
-    def calm(self) -> None:
+    def end_faults(self) -> None:
         """End all faults and start the processes that are down, with an empty disk if theirs was damaged."""
         self.net.clear()
         for name, proc in self.procs.items():
-            proc.disk, proc.trip = "ok", None
+            proc.disk, proc.planned_fault = "ok", None
             proc.forced_states.clear()
             self.start(name, "lost" if proc.refused else "kept")
 
-    def do(self, name: str, call: Callable[[Proc], list[Effect]], part: str = "") -> None:
+    def call_component(self, name: str, call: Callable[[Proc], list[Effect]], part: str = "") -> None:
         """Call a process from outside, as its driver would; no effect while it is down or paused."""
         proc = self.procs[name]
         if proc.up and not proc.paused:
             self._apply_effects(proc, proc.part(part) if part else proc.parts[0], call(proc))
 
-    def _resume(self, proc: Proc, life: int) -> None:
-        if not proc.up or proc.life != life:
+    def _resume(self, proc: Proc, start_count: int) -> None:
+        if not proc.up or proc.start_count != start_count:
             return
         proc.paused = False
         deferred, proc.deferred_effects = proc.deferred_effects, []
@@ -251,13 +252,13 @@
     # ---- effects and calls to components ----------------------------------------------------------------
 
     def _apply_effects(self, proc: Proc, part: Component, effects: Sequence[Effect]) -> None:
-        life = proc.life
+        start_count = proc.start_count
         for number, effect in enumerate(effects):
-            if self.before is not None and proc.up and not proc.paused:
-                self.before(proc, part, effect)
-            if proc.trip is not None:
+            if self.before_effect is not None and proc.up and not proc.paused:
+                self.before_effect(proc, part, effect)
+            if proc.planned_fault is not None:
                 self._count_down_fault(proc)
-            if not proc.up or proc.life != life:
+            if not proc.up or proc.start_count != start_count:
                 return
             if proc.paused:
                 proc.deferred_effects.append((part, effects[number:]))
@@ -268,8 +269,8 @@
             self._effect(proc, part, effect)
 
     def _count_down_fault(self, proc: Proc) -> None:
-        left, what, seconds = proc.trip
-        proc.trip = (left - 1, what, seconds) if left else None
+        left, what, seconds = proc.planned_fault
+        proc.planned_fault = (left - 1, what, seconds) if left else None
         if not left:
             self.crash(proc.name) if what == "crash" else self.pause(proc.name, seconds)
 
@@ -281,7 +282,7 @@
             assert len(effect.body) <= MAX_BODY, f"{part.name}: {len(effect.body)} bytes to {effect.to}"
             self._post(proc, part.name, effect)
         elif isinstance(effect, Store):
-            records = proc.kept.setdefault(part.name, {})
+            records = proc.stored_records.setdefault(part.name, {})
             if effect.value is None:
                 records.pop(effect.key, None)
             else:
@@ -323,13 +324,13 @@
     def _announce_leave(self, proc: Proc) -> None:
         gone = proc.member(State.LEFT)
         for other in self._other_running(proc):
-            for delay in self.net.fate(self.now, proc.name, other.name, 100):
+            for delay in self.net.datagram_delays(self.now, proc.name, other.name, 100):
                 self._at(delay, other.name, self._update_member, other, gone)
 
     def _put(self, proc: Proc, put: Put) -> None:
-        entry = proc.tell(put)
+        entry = proc.publish(put)
         for other in self._other_running(proc):
-            for delay in self.net.fate(self.now, proc.name, other.name, 100 + len(put.value)):
+            for delay in self.net.datagram_delays(self.now, proc.name, other.name, 100 + len(put.value)):
                 self._at(delay + self._rng.random() * ENTRY_SPREAD, other.name, self._entry, other, entry)
 
     def _post(self, proc: Proc, part: str, post: Post) -> None:
@@ -337,7 +338,11 @@
         if other is None or not other.up:
             return
         sender = proc.member()
-        delays = [0.0] if other is proc else self.net.fate(self.now, proc.name, post.to, 100 + len(post.body))
+        delays = (
+            [0.0]
+            if other is proc
+            else self.net.datagram_delays(self.now, proc.name, post.to, 100 + len(post.body))
+        )
         for delay in delays:
             self._at(delay, post.to, self._receive_message, other, part, sender, post.body)
         if delays and self.garbage and self._rng.random() < self.garbage:
@@ -360,7 +365,7 @@
         return [other for other in self.procs.values() if other.up and other is not proc]
 
     def _can_exchange(self, proc: Proc, other: Proc) -> bool:
-        return other.up and not other.paused and self.net.reached(proc.name, other.name)
+        return other.up and not other.paused and self.net.round_trip_works(proc.name, other.name)
 
     def _update_member(self, proc: Proc, member: Member) -> None:
         old = proc.known.get(member.name)
@@ -369,8 +374,8 @@
         proc.set_member(member)
         self._notify_member(proc, member)
 
-    def _look(self, proc: Proc) -> None:
-        self._at(LOOK * self._rng.uniform(0.8, 1.2), proc.name, self._look, proc)
+    def _check_membership(self, proc: Proc) -> None:
+        self._at(CHECK_INTERVAL * self._rng.uniform(0.8, 1.2), proc.name, self._check_membership, proc)
         reached = []
         for other in list(self.procs.values()):
             if not proc.up or proc.paused:
@@ -389,7 +394,7 @@
         for member in list(other.known.values()):
             if member.name not in proc.known and member.is_live:
                 self._update_member(proc, member)
-        for about in list(other.told.values()):
+        for about in list(other.published.values()):
             for entry in list(about.values()):
                 if proc.up and not proc.paused:
                     self._entry(proc, entry)
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -13,44 +13,44 @@
 LIVE, DRAINING, GONE = range(3)  # engine states as encoded in bulletin records
 
 
-class Feed:
+class BulletinServer:
     """A bulletin server: sends each connection the events after the number that it names."""
 
     def __init__(self, hub: Hub, events: list[tuple[int, int, bytes]]) -> None:
-        self.hub, self.events, self.tells = hub, events, True
-        self.cut: int | None = None  # bytes of a write after which the connection is closed
-        self.late = 0.0  # seconds between two checks for new events; 0: the default
+        self.hub, self.events, self.sending = hub, events, True
+        self.close_after: int | None = None  # bytes of a write after which the connection is closed
+        self.poll_interval = 0.0  # seconds between two checks for new events; 0: the default
         self.listener = Listener(hub, ("127.0.0.1", 0), self.serve, 500, "feed")
 
     def serve(self, conn: Connection) -> None:
         """Handle one connection: send the missing events, and a keep-alive every second."""
-        last, said = struct.unpack(">Q", conn.read(8, time.monotonic() + 5))[0], 0.0
+        last, sent_at = struct.unpack(">Q", conn.read(8, time.monotonic() + 5))[0], 0.0
         while True:
             out = b""
-            for number, kind, payload in self.events if self.tells else ():
+            for number, kind, payload in self.events if self.sending else ():
                 if number > last:
                     out, last = out + wire.HEAD.pack(len(payload) + 9, number, kind) + payload, number
-            if not out and time.monotonic() > said + 1:
+            if not out and time.monotonic() > sent_at + 1:
                 out = wire.HEAD.pack(9, last, wire.NOTHING)
             if out:
-                conn.write(out[: self.cut], time.monotonic() + 5)
-                said = time.monotonic()
-                if self.cut is not None:
+                conn.write(out[: self.close_after], time.monotonic() + 5)
+                sent_at = time.monotonic()
+                if self.close_after is not None:
                     return  # closes in the middle of an event
-            self.hub.sleep(self.late or 0.03)
+            self.hub.sleep(self.poll_interval or 0.03)
 
-    def tell(self, name: str, port: int, state: int, born_ms: int = 0) -> None:
+    def publish(self, name: str, port: int, state: int, born_ms: int = 0) -> None:
         """Append an event: the state of one engine changed."""
-        record = change(name, port, state, born_ms)
+        record = change_record(name, port, state, born_ms)
         self.events.append((len(self.events) + 1, wire.CHANGES, record))
 
 
-def change(name: str, port: int, state: int, born_ms: int = 0) -> bytes:
+def change_record(name: str, port: int, state: int, born_ms: int = 0) -> bytes:
     """Return a bulletin record for an engine on this host."""
     return wire.RECORD.pack(int(name[2:], 16), b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, born_ms)
 
 
-def host(name: str, port: int, born_ms: int = 0) -> dict[str, object]:
+def engine_entry(name: str, port: int, born_ms: int = 0) -> dict[str, object]:
     """Return an engine in the format of the configuration's `known` list."""
     return {
         "host": name,
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -4,8 +4,8 @@
         for name in "abc":
             fleet.add(name)                       # a member without front end; the first three are seeds
         fleet.start()
-        fleet.until(lambda: fleet.all_have("abc", "ALIVE"), "all know each other")
-        fleet["a"].kill()                         # SIGKILL; also pause, go_on, hangup, end (SIGTERM), start
+        fleet.until(lambda: fleet.all_see("abc", "ALIVE"), "all know each other")
+        fleet["a"].kill()                         # SIGKILL; also pause, resume, reload, terminate, start
         fleet.relay("cut", "b", "c")              # see `links`
 
 `fleet.sidecar(label, [engine addresses])` adds a complete process, an application's sidecar, with clients at
@@ -57,23 +57,23 @@
         self.log.touch()
         self.host = f"{fleet.address_prefix}.1.{number}"
         self.port = free_port(self.host)
-        self.door: Address = fleet.relay.door(
+        self.relay_address: Address = fleet.relay.open_address(
             label, (self.host, self.port), f"{fleet.address_prefix}.2.{number}"
         )
         self.front: Address = self.host, free_port(self.host)  # of a complete process
         self.config: dict[str, Any] = {}
-        self.running: subprocess.Popen | None = None
-        self.lives: list[int] = []  # log offset of each start
+        self.popen: subprocess.Popen | None = None
+        self.log_offsets: list[int] = []  # log offset of each start
 
     # ---- control --------------------------------------------------------------------------------------
 
     def start(self) -> None:
         """Start it with its current configuration."""
-        assert self.running is None, f"{self.label} runs"
+        assert self.popen is None, f"{self.label} runs"
         self.write()
-        self.lives.append(self.log.stat().st_size)
+        self.log_offsets.append(self.log.stat().st_size)
         with self.log.open("ab") as log:
-            self.running = subprocess.Popen(
+            self.popen = subprocess.Popen(
                 [sys.executable, *self.command, str(self.file)],
                 stdout=log,
                 stderr=log,
@@ -86,39 +86,39 @@
 
     def signal(self, number: int) -> None:
         """Send a signal to the running process."""
-        self.running.send_signal(number)
+        self.popen.send_signal(number)
 
     def kill(self) -> None:
         """Send SIGKILL and wait for its end."""
-        if self.running is not None:
+        if self.popen is not None:
             self.signal(signal.SIGKILL)
-            self.running.wait()
-            self.running = None
+            self.popen.wait()
+            self.popen = None
 
     def pause(self) -> None:
         """Send SIGSTOP and wait until it is stopped."""
         self.signal(signal.SIGSTOP)
-        while Path(f"/proc/{self.running.pid}/stat").read_text().rpartition(")")[2].split()[0] != "T":
+        while Path(f"/proc/{self.popen.pid}/stat").read_text().rpartition(")")[2].split()[0] != "T":
             time.sleep(0.001)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Send SIGCONT."""
         self.signal(signal.SIGCONT)
 
-    def hangup(self) -> None:
+    def reload(self) -> None:
         """Write the configuration and send SIGHUP: it reads its key and configuration again."""
         self.write()
         self.signal(signal.SIGHUP)
 
-    def end(self) -> int:
+    def terminate(self) -> int:
         """Send SIGTERM and return its exit status."""
         self.signal(signal.SIGTERM)
-        return self.ended()
+        return self.wait_exit()
 
-    def ended(self) -> int:
+    def wait_exit(self) -> int:
         """Wait until it exits by itself; return its exit status."""
-        self.fleet.until(lambda: self.running.poll() is not None, f"{self.label} ends")
-        code, self.running = self.running.returncode, None
+        self.fleet.until(lambda: self.popen.poll() is not None, f"{self.label} ends")
+        code, self.popen = self.popen.returncode, None
         return code
 
     # ---- observation ----------------------------------------------------------------------------------
@@ -126,31 +126,33 @@
     @property
     def pid(self) -> int:
         """Id of the running process."""
-        return self.running.pid
+        return self.popen.pid
 
-    def text(self, life: int = -1) -> str:
+    def log_text(self, run_index: int = -1) -> str:
         """Return the log of one of its runs, by default the last, without timestamps."""
         data = self.log.read_bytes()
-        ends = [*self.lives[1:], len(data)]
-        if not self.lives:
+        ends = [*self.log_offsets[1:], len(data)]
+        if not self.log_offsets:
             return ""
-        return LOG_TIMESTAMP.sub("", data[self.lives[life] : ends[life]].decode(errors="replace"))
+        return LOG_TIMESTAMP.sub(
+            "", data[self.log_offsets[run_index] : ends[run_index]].decode(errors="replace")
+        )
 
-    def said(self, life: int = -1) -> list[tuple[str, int, str]]:
+    def member_events(self, run_index: int = -1) -> list[tuple[str, int, str]]:
         """Return all state changes of members that it has logged: name, incarnation and state."""
         return [
             (name, int(incarnation), state)
-            for name, incarnation, state in MEMBER_LINE.findall(self.text(life))
+            for name, incarnation, state in MEMBER_LINE.findall(self.log_text(run_index))
         ]
 
     def states(self) -> dict[str, str]:
         """Return the state in which it sees each member, by name."""
-        return {name: state for name, _, state in self.said()}
+        return {name: state for name, _, state in self.member_events()}
 
     @property
     def incarnation(self) -> int:
         """The incarnation with which its last run began; 0 before it has logged it."""
-        found = START_LINE.search(self.text())
+        found = START_LINE.search(self.log_text())
         return int(found[1]) if found else 0
 
 
@@ -199,7 +201,7 @@
         settings outside the [fleet] section, `fleet` those in it."""
         process = Process(self, label, len(self.processes) + 1, command)
         self.processes[label] = process
-        seeds = [show(p.door) for p in list(self)[:3]]
+        seeds = [show(p.relay_address) for p in list(self)[:3]]
         process.config = {
             **(config or {}),
             "fleet": {
@@ -210,7 +212,7 @@
                 "key_file": str(self.key),
                 "state": str(process.folder / "state"),
                 "listen": show((process.host, process.port)),
-                "advertise": show(process.door),
+                "advertise": show(process.relay_address),
                 **fleet,
             },
         }
@@ -231,7 +233,7 @@
         for process in [self[label] for label in labels] or self:
             process.start()
 
-    def all_have(self, labels: Iterable[str], state: str, at: Iterable[str] = ()) -> bool:
+    def all_see(self, labels: Iterable[str], state: str, at: Iterable[str] = ()) -> bool:
         """Whether each of these processes, or of those in `at`, sees each other one of these in that
         state."""
         labels = list(labels)
@@ -246,7 +248,7 @@
         began = time.monotonic()
         while not holds():
             if time.monotonic() > began + within:
-                logs = "\n".join(f"--- {p.label}\n{p.text()[-1500:]}" for p in self)
+                logs = "\n".join(f"--- {p.label}\n{p.log_text()[-1500:]}" for p in self)
                 raise AssertionError(f"not within {within} s: {what}\n{logs}")
             self.sleep(0.02)
         return time.monotonic() - began
--- a/standins/frontprocess.py
+++ b/standins/frontprocess.py
@@ -21,10 +21,10 @@
 
     def __init__(self, folder: Path, name: str, launcher: Sequence[str] = ("-m",)) -> None:
         self.folder, self.name, self.launcher = folder, name, launcher
-        self.place = socket.socket()  # does not listen; reserves the port
-        self.place.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.place.bind(("127.0.0.1", 0))
-        self.address: tuple[str, int] = self.place.getsockname()
+        self.reserved_socket = socket.socket()  # does not listen; reserves the port
+        self.reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.reserved_socket.bind(("127.0.0.1", 0))
+        self.address: tuple[str, int] = self.reserved_socket.getsockname()
         self.log_path, self.config_path = folder / f"{name}.log", folder / f"{name}.json"
         self.process: subprocess.Popen[bytes] | None = None
 
@@ -85,4 +85,4 @@
     def close(self) -> None:
         """Kill the process and release the address."""
         self.stop()
-        self.place.close()
+        self.reserved_socket.close()
--- a/standins/links.py
+++ b/standins/links.py
@@ -1,12 +1,10 @@
-"""A relay for datagrams and streams between processes on loopback, with the faults of `faults.Weather`.
+"""A relay for datagrams and streams between processes on loopback, with the faults of `faults.NetworkFaults`.
 
     relay = Relay(seed)                                   # starts `python -m standins.links SEED PORT`
-    address = relay.door("a", ("127.70.1.1", 4711), "127.70.2.1")  # the address that process a advertises
-    relay("link", "a", "b", "loss=0.2", "delay_ms=300")   # from a to b; `*` is every process
-    relay("cut", "a", "b")                                # one way
-    relay("part", "a,b", "c")                             # a partition
-    relay("heal"), relay("clear"), relay("counts")
-    relay.close()
+    address = relay.open_address("a", ("127.70.1.1", 4711), "127.70.2.1")  # the address that process a
+    advertises relay("link", "a", "b", "loss=0.2", "delay_ms=300")   # from a to b; `*` is every process
+    relay("cut", "a", "b")                                # one way relay("partition", "a,b", "c")
+    # a partition relay("heal"), relay("clear"), relay("counts") relay.close()
 
 Each process listens and sends on a loopback address of its own, so the relay knows the sender by the source
 host. Its address at the relay is one port for UDP and TCP. Datagrams leave the relay from the sender's
@@ -29,7 +27,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from .faults import EACH, Link, Weather
+from .faults import ANY, Link, NetworkFaults
 
 Address = tuple[str, int]
 READ_SIZE = 16_384  # bytes read from a stream at a time
@@ -71,8 +69,8 @@
 class StreamRelay:
     """Relays streams, each as a pair of pipes."""
 
-    def __init__(self, select: selectors.DefaultSelector, weather: Weather, call_at: Callable) -> None:
-        self.select, self.weather, self.call_at = select, weather, call_at
+    def __init__(self, select: selectors.DefaultSelector, faults: NetworkFaults, call_at: Callable) -> None:
+        self.select, self.faults, self.call_at = select, faults, call_at
         self.pairs: dict[tuple[Pipe, Pipe], Address | None] = {}  # the address still to be connected to
 
     def add_connection(self, sender: Endpoint, to: Endpoint, client_side: socket.socket) -> None:
@@ -91,7 +89,7 @@
 
     def open(self, pair: tuple[Pipe, Pipe]) -> bool:
         """Whether neither direction is cut."""
-        return all(self.weather.open(pipe.a, pipe.b) for pipe in pair)
+        return all(self.faults.open(pipe.a, pipe.b) for pipe in pair)
 
     def update(self, pair: tuple[Pipe, Pipe]) -> None:
         """Send the data that is due, then register the events and the timer to wait for."""
@@ -144,7 +142,7 @@
             if mask & READ and not pipe.ended:
                 data = pipe.source.recv(READ_SIZE)
                 now = time.monotonic()
-                wait = self.weather.piece(now, pipe.a, pipe.b, len(data))
+                wait = self.faults.stream_delay(now, pipe.a, pipe.b, len(data))
                 pipe.waiting.append((max(now + wait, pipe.waiting[-1][0] if pipe.waiting else 0.0), data))
                 pipe.size += len(data)
                 pipe.ended = not data
@@ -175,14 +173,14 @@
     """The event loop of the relay process."""
 
     def __init__(self, seed: int) -> None:
-        self.weather = Weather(seed)
+        self.faults = NetworkFaults(seed)
         self.select = selectors.DefaultSelector()
         self.endpoints: dict[str, Endpoint] = {}
         self.by_host: dict[str, Endpoint] = {}
         self.counts: Counter[str] = Counter()
         self._heap: list[tuple[float, int, Callable, tuple]] = []
         self._number = count()
-        self.streams = StreamRelay(self.select, self.weather, self.call_at)
+        self.streams = StreamRelay(self.select, self.faults, self.call_at)
 
     def call_at(self, due: float, call: Callable, *args) -> None:
         """Schedule a call at a monotonic time."""
@@ -214,35 +212,35 @@
             self.control.sendall(answer.encode() + b"\n")
 
     def _execute(self, what: str, *words: str) -> str | None:
-        weather = self.weather
-        if what == "door":
+        faults = self.faults
+        if what == "open":
             name, host, port, own = words
             return self._add_endpoint(name, (host, int(port)), own)
         if what == "counts":
             return json.dumps(self.counts)
         names = words[:2] if what in ("link", "cut") else [n for group in words for n in group.split(",")]
         for name in names:
-            if name not in self.endpoints and (name != EACH or what == "part"):
+            if name not in self.endpoints and (name != ANY or what == "partition"):
                 raise ValueError(f"{name}: no such process")
         if what == "link":
-            weather.link(words[0], words[1], Link.read(words[2:]))
+            faults.link(words[0], words[1], Link.read(words[2:]))
         elif what == "cut":
-            weather.cut(*words)
-        elif what == "part":
-            weather.part(*(word.split(",") for word in words))
+            faults.cut(*words)
+        elif what == "partition":
+            faults.partition(*(word.split(",") for word in words))
         elif what in ("heal", "clear"):
-            getattr(weather, what)(*words)
+            getattr(faults, what)(*words)
         else:
             raise ValueError(f"{what}: no such command")
         for pair in list(self.streams.pairs):
             self.streams.update(pair)
 
     def _add_endpoint(self, name: str, target: Address, host: str) -> str:
-        door = Endpoint(name, target, host)
-        self.endpoints[name] = self.by_host[target[0]] = door
-        self.select.register(door.datagrams, READ, lambda mask: self._datagrams(door))
-        self.select.register(door.streams, READ, lambda mask: self._accept(door))
-        return f"{host} {door.address[1]}"
+        endpoint = Endpoint(name, target, host)
+        self.endpoints[name] = self.by_host[target[0]] = endpoint
+        self.select.register(endpoint.datagrams, READ, lambda mask: self._datagrams(endpoint))
+        self.select.register(endpoint.streams, READ, lambda mask: self._accept(endpoint))
+        return f"{host} {endpoint.address[1]}"
 
     def _datagrams(self, to: Endpoint) -> None:
         for _ in range(64):
@@ -255,7 +253,7 @@
                 self.counts["stranger"] += 1
                 continue
             now = time.monotonic()
-            copies = self.weather.fate(now, sender.name, to.name, len(data))
+            copies = self.faults.datagram_delays(now, sender.name, to.name, len(data))
             self.counts["datagrams"] += 1
             self.counts["lost"] += not copies
             self.counts["repeated"] += len(copies) > 1
@@ -301,9 +299,9 @@
             raise ValueError(text)
         return text
 
-    def door(self, name: str, target: Address, host: str) -> Address:
+    def open_address(self, name: str, target: Address, host: str) -> Address:
         """Open an address at `host` on the relay for the process that listens at `real`."""
-        found, port = self("door", name, target[0], str(target[1]), host).split()
+        found, port = self("open", name, target[0], str(target[1]), host).split()
         return found, int(port)
 
     def counts(self) -> dict[str, int]:
--- a/standins/lockstep.py
+++ b/standins/lockstep.py
@@ -53,7 +53,7 @@
         return data
 
 
-class Peers:
+class LockstepPeers:
     """The peers of one process of the program: an engine, a bulletin that sends nothing, and clients."""
 
     def __init__(self) -> None:
@@ -61,14 +61,14 @@
         self.in_step = True  # False: no waiting for the program to become idle
         self.engine = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.bulletin = socket.create_server(("127.0.0.1", 0), backlog=8)
-        self.wires: list[BufferedSocket] = []
-        self.answer: Callable[[bytes], bytes | None] = lambda request: (
+        self.connections: list[BufferedSocket] = []
+        self.immediate_reply: Callable[[bytes], bytes | None] = lambda request: (
             None
         )  # immediate replies, None: queue the request
 
     # ---- lockstep -------------------------------------------------------------------------------------
 
-    def rest(self) -> None:
+    def wait_idle(self) -> None:
         """Wait until the program is idle."""
         if not self.in_step:
             return
@@ -81,12 +81,12 @@
                 time.sleep(0.00005)
 
     @contextmanager
-    def together(self) -> Iterator[None]:
+    def delivered_at_once(self) -> Iterator[None]:
         """Deliver everything that is written inside the block to the program at once."""
         if not self.in_step:
             yield
             return
-        self.rest()
+        self.wait_idle()
         os.kill(self.pid, signal.SIGSTOP)
         until = time.monotonic() + TIMEOUT
         while process_state(self.pid) != "T":
@@ -103,12 +103,12 @@
         found: list[tuple[BufferedSocket, bytes]] = []
         until = time.monotonic() + TIMEOUT
         while True:
-            for wire in self.wires:
+            for wire in self.connections:
                 while size := split(wire.buffer):
                     request, wire.buffer = wire.buffer[:size], wire.buffer[size:]
-                    reply = self.answer(request)
+                    reply = self.immediate_reply(request)
                     if reply is not None:
-                        self.rest()
+                        self.wait_idle()
                         wire.sock.sendall(reply)
                     else:
                         found.append((wire, request))
@@ -116,22 +116,22 @@
                 return found
             if time.monotonic() > until:
                 raise MissingData(f"{len(found)} of {count} requests at the engine")
-            socks = {wire.sock: wire for wire in self.wires}
+            socks = {wire.sock: wire for wire in self.connections}
             for sock in select.select([self.engine, self.bulletin, *socks], [], [], 0.5)[0]:
                 if sock in (self.engine, self.bulletin):
                     new = sock.accept()[0]
                     if sock is self.engine:
-                        self.wires.append(BufferedSocket(new))
+                        self.connections.append(BufferedSocket(new))
                     else:
                         self.silent = new
                 elif not socks[sock].receive():
-                    self.wires.remove(socks[sock])
+                    self.connections.remove(socks[sock])
 
 
 # ---- HTTP engines -------------------------------------------------------------------------------------
 
 
-def http_split(buffer: bytes) -> int:
+def http_request_size(buffer: bytes) -> int:
     """Return the size of the first HTTP request, 0 if it is incomplete."""
     at = buffer.find(b"\r\n\r\n")
     if at < 0:
@@ -143,22 +143,22 @@
     return at + 4 + length if len(buffer) >= at + 4 + length else 0
 
 
-def http_answer(body: bytes, fields: str, status: int = 200) -> bytes:
+def http_response(body: bytes, fields: str, status: int = 200) -> bytes:
     """Return an HTTP response."""
     return f"HTTP/1.1 {status} X\r\n{fields}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def first_page(body: bytes, pages: int = 1) -> bytes:
+def first_page_response(body: bytes, pages: int = 1) -> bytes:
     """Return the response to a successful query with its first page."""
-    return http_answer(
+    return http_response(
         body, f"X-Batches: {pages}\r\nX-Spent: 120\r\nX-Wanted: 8\r\nX-Meter: inflight:1;util:0.1\r\n"
     )
 
 
-def probe_answer(request: bytes) -> bytes | None:
+def probe_response(request: bytes) -> bytes | None:
     """Return the response to a probe, a priority change or a deletion; None for other requests."""
     if request.startswith(b"GET /stats"):
-        return http_answer(b"", "X-Meter: util:0.1;queue:0;x0:0.1;x1:0.1\r\n")
+        return http_response(b"", "X-Meter: util:0.1;queue:0;x0:0.1;x1:0.1\r\n")
     if request.startswith((b"PUT", b"DELETE")):
         return b"HTTP/1.1 204 X\r\n\r\n"
     return None
@@ -168,7 +168,7 @@
     """A client whose calls have the sequence numbers 1, 2, 3, ..."""
 
     def __init__(self, address: tuple[str, int], serial: int = 0) -> None:
-        self.wire = BufferedSocket(socket.create_connection(address, TIMEOUT))
+        self.connection = BufferedSocket(socket.create_connection(address, TIMEOUT))
         self.number, self.serial = 0, serial  # request ids are derived from both and repeat in each run
 
     def call(self, kind: str, statement: str, timeout: int = 20000) -> bytes:
@@ -188,13 +188,13 @@
 
     def reply(self) -> thrift.Message:
         """Read the next answer."""
-        return thrift.read_message(self.wire.read(struct.unpack(">I", self.wire.read(4))[0]))
+        return thrift.read_message(self.connection.read(struct.unpack(">I", self.connection.read(4))[0]))
 
 
 # ---- TDS engines --------------------------------------------------------------------------------------
 
 
-def tds_split(buffer: bytes) -> int:
+def tds_message_size(buffer: bytes) -> int:
     """Return the size of the first TDS message, 0 if it is incomplete."""
     at = 0
     while len(buffer) >= at + 8:
@@ -217,7 +217,7 @@
     return b"".join(parts)
 
 
-def session_answer(message: bytes) -> bytes | None:
+def session_response(message: bytes) -> bytes | None:
     """Return the reply to a message that opens a session; None for a batch."""
     if message[0] == tds.PRELOGIN:
         return tds.packets(tds.REPLY, tds.prelogin())
@@ -230,15 +230,15 @@
     """A client with one session."""
 
     def __init__(self, address: tuple[str, int], user: str) -> None:
-        self.wire = BufferedSocket(socket.create_connection(address, TIMEOUT))
-        self.wire.sock.sendall(tds.packets(tds.PRELOGIN, tds.prelogin()))
+        self.connection = BufferedSocket(socket.create_connection(address, TIMEOUT))
+        self.connection.sock.sendall(tds.packets(tds.PRELOGIN, tds.prelogin()))
         self.message()
-        self.wire.sock.sendall(tds.packets(tds.LOGIN7, tds.login7(tds.Login(user, "bench"))))
+        self.connection.sock.sendall(tds.packets(tds.LOGIN7, tds.login7(tds.Login(user, "bench"))))
         self.message()
 
     def message(self) -> bytes:
         """Read the next complete message."""
-        while not (size := tds_split(self.wire.buffer)):
-            if not self.wire.receive():
+        while not (size := tds_message_size(self.connection.buffer)):
+            if not self.connection.receive():
                 raise MissingData("closed")
-        return self.wire.read(size)
+        return self.connection.read(size)
--- a/standins/nameserver.py
+++ b/standins/nameserver.py
@@ -33,17 +33,17 @@
 
 
 @dataclass
-class Act:
+class AnswerBehaviour:
     """How a question is answered. `code`: response code; None: as the zone has it.
 
-    UDP: `lose` sends nothing, `truncate` sets the TC flag, `number` and `question` replace the message id and
+    UDP: `drop` sends nothing, `truncate` sets the TC flag, `number` and `question` replace the message id and
     the question, `first` is sent before the answer, `forged` too but from another sender, `raw` instead of
     it. TCP: `stream` is ok, stall (half of the answer, then nothing), cut (half of it, then a close), lie (a
     length prefix that is too large) or refuse (closed at once).
     """
 
     delay: float = 0.0
-    lose: bool = False
+    drop: bool = False
     code: int | None = None
     truncate: bool = False
     number: int | None = None
@@ -55,7 +55,7 @@
 
 
 class NameServer:
-    """One name server. `zone` maps (name, type) to lists of (ttl, data); `act` scripts each answer."""
+    """One name server. `zone` maps (name, type) to lists of (ttl, data); `behaviour` scripts each answer."""
 
     def __init__(self, hub: Hub, host: str = "127.0.0.1") -> None:
         self.hub = hub
@@ -64,8 +64,8 @@
         self.extra_records: list[
             tuple[str, int, str, str]
         ] = []  # unrelated records that are added to each answer
-        self.act: Callable[[Question], Act] = lambda asked: Act()
-        self.asked: list[Question] = []
+        self.behaviour: Callable[[Question], AnswerBehaviour] = lambda asked: AnswerBehaviour()
+        self.questions: list[Question] = []
         self.follow_aliases = True  # resolve CNAMEs within an answer
         self.listener = Listener(hub, (host, 0), self._serve_stream, 50, "name server")
         self.address = self.listener.address
@@ -94,13 +94,13 @@
 
     # ---- answers --------------------------------------------------------------------------------------
 
-    def answer(self, query: dns.message.Message, act: Act) -> dns.message.Message:
+    def answer(self, query: dns.message.Message, behaviour: AnswerBehaviour) -> dns.message.Message:
         """Build the answer from the zone."""
         reply = dns.message.make_response(query, recursion_available=True)
         asked = query.question[0]
         name, kind = asked.name.to_text().lower(), dns.rdatatype.to_text(asked.rdtype)
-        if act.code is not None:
-            reply.set_rcode(act.code)
+        if behaviour.code is not None:
+            reply.set_rcode(behaviour.code)
             return reply
         for _ in range(20):
             rows = self.zone.get((name, kind), [])
@@ -128,7 +128,7 @@
             reply.additional.append(dns.rrset.from_text(owner, ttl, "IN", kind, data))
         return reply
 
-    def _record_question(self, data: bytes, stream: bool) -> tuple[dns.message.Message, Act]:
+    def _record_question(self, data: bytes, stream: bool) -> tuple[dns.message.Message, AnswerBehaviour]:
         query = dns.message.from_wire(data)
         asked = Question(
             time.monotonic(),
@@ -136,8 +136,8 @@
             dns.rdatatype.to_text(query.question[0].rdtype),
             stream,
         )
-        self.asked.append(asked)
-        return query, self.act(asked)
+        self.questions.append(asked)
+        return query, self.behaviour(asked)
 
     def _serve_datagrams(self) -> None:
         while True:
@@ -146,51 +146,51 @@
                 data, who = self.sock.recvfrom(4096)
             except BlockingIOError:
                 continue
-            query, act = self._record_question(data, False)
-            if act.delay:
-                self.hub.timers.after(act.delay, self.hub.spawn, self._reply, query, act, who)
+            query, behaviour = self._record_question(data, False)
+            if behaviour.delay:
+                self.hub.timers.after(behaviour.delay, self.hub.spawn, self._reply, query, behaviour, who)
             else:
-                self._reply(query, act, who)
+                self._reply(query, behaviour, who)
 
-    def _reply(self, query: dns.message.Message, act: Act, who: tuple) -> None:
-        if act.forged is not None:
+    def _reply(self, query: dns.message.Message, behaviour: AnswerBehaviour, who: tuple) -> None:
+        if behaviour.forged is not None:
             with socket.socket(self.sock.family, socket.SOCK_DGRAM) as other:
-                other.sendto(act.forged(query), who)
-        for data in act.first:
+                other.sendto(behaviour.forged(query), who)
+        for data in behaviour.first:
             self.sock.sendto(data, who)
-        if act.lose:
+        if behaviour.drop:
             return
-        reply = self.answer(query, act)
-        if act.number is not None:
-            reply.id = act.number
-        if act.question is not None:
-            reply.question = [dns.rrset.from_text(act.question, 0, "IN", "SRV")]
+        reply = self.answer(query, behaviour)
+        if behaviour.number is not None:
+            reply.id = behaviour.number
+        if behaviour.question is not None:
+            reply.question = [dns.rrset.from_text(behaviour.question, 0, "IN", "SRV")]
         max_size = query.payload if query.edns >= 0 else 512
         try:
             data = reply.to_wire(max_size=max(512, max_size))
         except dns.exception.TooBig:
             data = None
-        if data is None or act.truncate:
+        if data is None or behaviour.truncate:
             reply = dns.message.make_response(query, recursion_available=True)
             reply.flags |= dns.flags.TC
             data = reply.to_wire()
-        self.sock.sendto(data if act.raw is None else act.raw, who)
+        self.sock.sendto(data if behaviour.raw is None else behaviour.raw, who)
 
     def _serve_stream(self, conn: Connection) -> None:
         until = time.monotonic() + 10
         data = conn.read(int.from_bytes(conn.read(2, until), "big"), until)
-        query, act = self._record_question(data, True)
-        if act.delay:
-            self.hub.sleep(act.delay)
-        if act.stream == "refuse" or act.lose:
+        query, behaviour = self._record_question(data, True)
+        if behaviour.delay:
+            self.hub.sleep(behaviour.delay)
+        if behaviour.stream == "refuse" or behaviour.drop:
             return
-        data = self.answer(query, act).to_wire(max_size=65535)
-        if act.stream == "lie":
+        data = self.answer(query, behaviour).to_wire(max_size=65535)
+        if behaviour.stream == "lie":
             conn.write((len(data) + 7).to_bytes(2, "big") + data, until)
             return
-        half = len(data) // 2 if act.stream in ("stall", "cut") else len(data)
+        half = len(data) // 2 if behaviour.stream in ("stall", "cut") else len(data)
         conn.write(len(data).to_bytes(2, "big") + data[:half], until)
-        if act.stream == "stall":
+        if behaviour.stream == "stall":
             try:
                 conn.fill(time.monotonic() + 30)
             except TimedOut:
--- a/standins/quiet.py
+++ b/standins/nullcomponent.py
@@ -1,7 +1,7 @@
 """Base class of simulated components that react to little."""
 
 
-class Quiet:
+class NullComponent:
     """A component without effects."""
 
     topics, period = (), 0.5
--- a/standins/peered.py
+++ b/standins/peered.py
@@ -1,6 +1,6 @@
 """The simulation of `cluster` with the program's own peer protocol in place of the membership oracle.
 
-    world = PeeredCluster(seed, names, make, checks=[...])      # as Cluster; `misjudge` has no effect here
+    world = PeeredCluster(seed, names, make, checks=[...])      # as Cluster; `force_state` has no effect here
 
 Each datagram gets its own delay or loss from `world.net`. An exchange takes no simulated time and is cut
 short when the link fails. `proc.peers` is the peer state machine of a process.
@@ -60,16 +60,16 @@
         return proc
 
     def _join(self, proc: PeeredProc) -> None:
-        rng = self.net.draw(proc.name, "", "peers")
+        rng = self.net.random_stream(proc.name, "", "peers")
         seeds = tuple(list(self.by_address)[:SEED_COUNT])
         me = LocalNode(proc.name, proc.incarnation, rng.randbytes(8), proc.address, proc.place, seeds)
         proc.peers, proc.trouble = PeerNode(me, KEYS, self.timing, rng, proc.clock()), None
         proc.peers.take_events()  # drop the events about itself
 
-    def _look(self, proc: PeeredProc) -> None:
+    def _check_membership(self, proc: PeeredProc) -> None:
         proc.peers.on_tick(proc.clock())
         wait = max(0.01, (proc.peers.next_due() - proc.clock()) / proc.clock_rate)
-        self._at(wait, proc.name, self._look, proc)
+        self._at(wait, proc.name, self._check_membership, proc)
         self._flush_output(proc)
 
     def _announce_leave(self, proc: PeeredProc) -> None:
@@ -100,7 +100,7 @@
             other = self.by_address.get(address)
             if other is None or not other.up:
                 continue
-            for delay in self.net.fate(self.now, proc.name, other.name, len(data)):
+            for delay in self.net.datagram_delays(self.now, proc.name, other.name, len(data)):
                 self._at(delay, other.name, self._receive_datagram, other, proc.address, data)
 
     def _flush_output(self, proc: PeeredProc) -> None:
--- a/standins/peersim.py
+++ b/standins/peersim.py
@@ -5,7 +5,7 @@
     sim.run(10.0)                  # seconds
     sim.kill("n7"); sim.run(5.0)
     sim.cut([{"n1", "n2"}])        # a partition: these, and all others
-    sim.calls["n3"]                # (time, event) of the peer, in order
+    sim.events["n3"]               # (time, event) of the peer, in order
 
 Datagrams are delayed by `delay`, lost with probability `loss`, and never cross a partition. Exchanges take no
 simulated time. A paused process first receives the datagrams that its socket would have queued.
@@ -51,10 +51,10 @@
         self.by_address: dict[tuple[str, int], str] = {}
         self.paused: dict[str, deque] = {}
         self.partition: list[set[str]] = []
-        self.deaf: set[str] = set()  # processes that receive nothing
+        self.unreachable: set[str] = set()  # processes that receive nothing
         # additional delay and loss of a process, in both directions
         self.links: dict[str, tuple[float, float]] = {}
-        self.calls: dict[str, list[tuple[float, object]]] = {}
+        self.events: dict[str, list[tuple[float, object]]] = {}
         self.bytes: dict[str, int] = {}
         self.repeat = 0.0  # share of datagrams delivered twice
         self.exchange_count = 0
@@ -77,7 +77,7 @@
         )
         self.nodes[label] = self.make(me, self.keys, self.timing, rng, self.now)
         self.by_address[address] = label
-        self.calls.setdefault(label, [])
+        self.events.setdefault(label, [])
         self.bytes.setdefault(label, 0)
         self._process_output(label)
 
@@ -115,7 +115,7 @@
         """Set a partition into these sides and the remaining processes; an empty list ends it."""
         self.partition = list(sides)
 
-    def apart(self, a: str, b: str) -> bool:
+    def separated(self, a: str, b: str) -> bool:
         """Whether two processes are separated by the partition."""
         return any((a in side) != (b in side) for side in self.partition)
 
@@ -143,7 +143,7 @@
         self.now = end
         return holds()
 
-    def touch(self, name: str) -> None:
+    def flush(self, name: str) -> None:
         """Process the output of a peer after a call from outside."""
         self._process_output(name)
 
@@ -159,7 +159,7 @@
 
     def _process_output(self, name: str) -> None:
         node = self.nodes[name]
-        self.calls[name] += [(self.now, event) for event in node.take_events()]
+        self.events[name] += [(self.now, event) for event in node.take_events()]
         for address, data in node.take_datagrams():
             self.bytes[name] += len(data)
             self._send(name, address, data)
@@ -179,7 +179,7 @@
             if name in self.links:
                 more_delay, more_loss = self.links[name]
                 delay, loss = delay + more_delay, 1 - (1 - loss) * (1 - more_loss)
-        if loss and self.rng.random() < loss or to in self.deaf or self.apart(sender, to):
+        if loss and self.rng.random() < loss or to in self.unreachable or self.separated(sender, to):
             return None
         return delay * (0.5 + self.rng.random())
 
@@ -206,8 +206,8 @@
         if (
             called_node is None
             or called in self.paused
-            or self.apart(caller, called)
-            or {caller, called} & self.deaf
+            or self.separated(caller, called)
+            or {caller, called} & self.unreachable
         ):
             caller_node.sync_failed(self.now)
             return
@@ -253,11 +253,11 @@
         """Return (time, observer, name of the process that it took for dead)."""
         return [
             (at, label, event.name)
-            for label, calls in self.calls.items()
+            for label, calls in self.events.items()
             for at, event in calls
             if at >= since and isinstance(event, Member) and event.state is State.DEAD
         ]
 
-    def troubles(self, label: str) -> list[IdentityChanged]:
+    def name_conflicts(self, label: str) -> list[IdentityChanged]:
         """Return the name conflict events of one process."""
-        return [event for _, event in self.calls[label] if isinstance(event, IdentityChanged)]
+        return [event for _, event in self.events[label] if isinstance(event, IdentityChanged)]
--- a/standins/proc.py
+++ b/standins/proc.py
@@ -16,7 +16,7 @@
 FORGET_AFTER = 60.0  # seconds without contact after which a dead process is removed
 
 
-class Broken(AssertionError):
+class SimulationError(AssertionError):
     """A check failed, or a component raised an exception."""
 
 
@@ -25,9 +25,9 @@
 
     def __init__(self, world: Cluster, name: str, place: Place) -> None:
         self.world, self.name, self.place = world, name, place
-        self.incarnation = self.life = 0
+        self.incarnation = self.start_count = 0
         self.up, self.paused, self.disk, self.refused = False, False, "ok", None
-        self.kept: dict[str, dict[str, bytes]] = {}
+        self.stored_records: dict[str, dict[str, bytes]] = {}
         self.facts: list[tuple[float, str, object]] = []
         self.notes: list[str] = []
         self.clock_rate, self.clock_zero = 1.0, 0.0
@@ -37,12 +37,12 @@
         """Clear everything that was in memory."""
         self.parts: tuple[Component, ...] = ()
         self.known: dict[str, Member] = {}
-        self.told: dict[str, dict[str, Entry]] = {}
+        self.published: dict[str, dict[str, Entry]] = {}
         self.last_contact: dict[str, float] = {}
         self.forced_states: dict[str, tuple[State, float]] = {}
         self.queued_calls: list[tuple[Callable, tuple]] = []
         self.deferred_effects: list[tuple[Component, Sequence[Effect]]] = []
-        self.trip: tuple[int, str, float] | None = None
+        self.planned_fault: tuple[int, str, float] | None = None
 
     def clock(self) -> float:
         """Its own CLOCK_BOOTTIME now."""
@@ -58,14 +58,14 @@
 
     def entry(self, origin: str, topic: str) -> Entry | None:
         """See View."""
-        found = self.told.get(topic, {}).get(origin)
+        found = self.published.get(topic, {}).get(origin)
         return found if found is not None and found.value else None
 
     def entries(self, topic: str) -> Iterable[Entry]:
         """See View."""
         return [
             entry
-            for origin, entry in self.told.get(topic, {}).items()
+            for origin, entry in self.published.get(topic, {}).items()
             if entry.value and origin in self.known and self.known[origin].is_live
         ]
 
@@ -79,13 +79,13 @@
         """Add or update a member; entries of its former incarnations are dropped."""
         self.known[member.name] = member
         self.last_contact.setdefault(member.name, self.world.now)
-        for about in self.told.values():
+        for about in self.published.values():
             if member.name in about and about[member.name].incarnation < member.incarnation:
                 del about[member.name]
 
-    def tell(self, put: Put) -> Entry:
+    def publish(self, put: Put) -> Entry:
         """Publish its own entry under a topic."""
-        about = self.told.setdefault(put.topic, {})
+        about = self.published.setdefault(put.topic, {})
         version = about[self.name].version + 1 if self.name in about else 1
         about[self.name] = entry = Entry(self.name, self.incarnation, put.topic, version, put.value)
         return entry
@@ -95,7 +95,7 @@
         known = self.known.get(entry.origin)
         if known is None or entry.incarnation < known.incarnation:
             return False
-        about = self.told.setdefault(entry.topic, {})
+        about = self.published.setdefault(entry.topic, {})
         old = about.get(entry.origin)
         if old is not None and (old.incarnation, old.version) >= (entry.incarnation, entry.version):
             return False
@@ -124,7 +124,7 @@
                 state = wrong
         if gap > FORGET_AFTER and state > State.SUSPECT:
             del self.known[name]
-            for about in self.told.values():
+            for about in self.published.values():
                 about.pop(name, None)
             return None
         return Member(name, incarnation, "127.0.0.1", 1, other.place, state)
--- a/standins/purging.py
+++ b/standins/purging.py
@@ -2,8 +2,8 @@
 
 Engines hold a counter for each table group that each load increments; an answer is the counter value that its
 query read. Once a purge is reported complete, or a process has no purge pending for a load that has ended, no
-process may serve an answer older than the counter at the begin of the purge: `Truth.check` inspects all
-cached answers that could be served. The fake authority gives its guarantees by inspecting the whole
+process may serve an answer older than the counter at the begin of the purge: `CacheChecker.check` inspects
+all cached answers that could be served. The fake authority gives its guarantees by inspecting the whole
 simulation.
 """
 
@@ -27,8 +27,8 @@
 
 from .cluster import Cluster
 from .faults import Link
+from .nullcomponent import NullComponent
 from .proc import Proc
-from .quiet import Quiet
 
 LEASE = 4.0  # seconds
 LOOKUP = 0  # class of requests that read
@@ -59,7 +59,7 @@
         return 2 * reached > len(self.voters)
 
 
-class FakeAuthority(Quiet):
+class FakeAuthority(NullComponent):
     """The authority component of one process; pending proposals are dropped when the coordinator changes."""
 
     name, topics, period = "authority", (), 0.05
@@ -133,7 +133,7 @@
         return []
 
 
-class Truth:
+class CacheChecker:
     """The data of the engines and the oldest answers that may be served. Times are the simulation's."""
 
     def __init__(self, groups: int) -> None:
@@ -146,14 +146,14 @@
         self.began_at: dict[tuple[str, int, int], float] = {}
         self.ended_loads: list[tuple[str, int, int, int]] = []  # loads: process, life, group, counter
         self.changed = False
-        self.loose = CHECK_STEPS
-        self.served = self.looks = 0
+        self.check_steps = CHECK_STEPS
+        self.served = self.check_count = 0
 
     def at(self, group: int, when: float) -> int:
         """Return the counter of a group at that time."""
         return bisect(self.write_times[group], when)
 
-    def before(self, proc: Proc, part, effect: Effect) -> None:
+    def before_effect(self, proc: Proc, part, effect: Effect) -> None:
         """Observe the begin and the completion of purges."""
         now, what = proc.world.now, effect
         if isinstance(what, Saves) and what.value and what.key.startswith("purge/"):
@@ -192,18 +192,18 @@
     def check(self, world: Cluster) -> None:
         """Check that no process could serve an answer now that is too old."""
         for load in list(self.ended_loads):
-            name, life, group, value = load
+            name, start_count, group, value = load
             proc = world.procs[name]
-            if not proc.up or proc.life != life:
+            if not proc.up or proc.start_count != start_count:
                 self.ended_loads.remove(load)
             elif not any(item[2] in (ALL, of_group(group)) for item in proc.part("purges").origin.items):
                 self.ended_loads.remove(load)
                 if value > self.required[group]:
                     self.required[group], self.changed = value, True
-        if not self.changed and world.steps % self.loose:
+        if not self.changed and world.steps % self.check_steps:
             return
         self.changed = False
-        self.looks += 1
+        self.check_count += 1
         for proc in world.running:
             store, now = proc.part("purges").store, proc.clock()
             if proc.paused or not store.serves(now):
@@ -217,14 +217,14 @@
                     )
 
 
-class Requests(Quiet):
+class Requests(NullComponent):
     """Clients and engines of one process: lookups and loads arrive, are sent, and end after a while."""
 
     name, topics, period = "requests", (), 0.1
 
     def __init__(
         self,
-        truth: Truth,
+        truth: CacheChecker,
         purges: Purges,
         rng: random.Random,
         rate: float,
@@ -234,7 +234,7 @@
         self.truth, self.purges, self.rng, self.rate, self.loads = truth, purges, rng, rate, loads
         policy = Policy({LOOKUP: Rule("lookup", 30.0)}, frozenset({LOAD}), joins=4, wait=1.0)
         self.load_events: list = []
-        self.kept = front(purges.store, policy, self.load_events.append)
+        self.answer_cache = front(purges.store, policy, self.load_events.append)
         # end time, time of the read or write, group, request
         self.in_flight: list[tuple[float, float, int, Call]] = []
         self.count = 0
@@ -253,7 +253,7 @@
             self.ask(now, self.rng.choice(self.truth.groups), LOAD)
         load_events, self.load_events[:] = list(self.load_events), []
         if load_events:
-            self.world.do(
+            self.world.call_component(
                 self.proc.name,
                 lambda proc: [
                     effect for item in load_events for effect in self.purges.load(proc.clock(), item)
@@ -267,7 +267,7 @@
         self.count += 1
         text = f"{'select * from' if cls == LOOKUP else 'truncate'} sales_{group}.t"
         call = Call(f"{self.count}", cls, 0, text.encode(), None, group, 0.0, 5.0, lambda call, final: None)
-        found = self.kept.lookup(call, now)
+        found = self.answer_cache.lookup(call, now)
         if isinstance(found, Result):
             self.truth.serve(self.proc.name, group, found.rows & 0xFFFFFFFF)
         elif not isinstance(found, Joined):
@@ -275,7 +275,7 @@
 
     def send(self, now: float, group: int, call: Call) -> None:
         """Send it to an engine, which reads or writes at some time before its answer arrives."""
-        self.kept.sent(call, now)
+        self.answer_cache.sent(call, now)
         world_now = self.world.now
         ends_at = world_now + self.rng.choice((0.05, 0.3, 2.0, 6.0)) * self.rng.random()
         executes_at = self.rng.uniform(world_now, ends_at)
@@ -293,7 +293,7 @@
         for _, executes_at, group, call in due:
             value = self.truth.at(group, executes_at)
             result = Result("text", (b"x",), rows=group << 32 | value) if self.rng.random() < 0.9 else None
-            freed = self.kept.ended(call, result, now)
+            freed = self.answer_cache.ended(call, result, now)
             for waiter in freed.served:
                 self.truth.serve(self.proc.name, group, value)
                 waiter.open = False
@@ -301,7 +301,7 @@
                 self.send(now, group, waiter)
             if call.cls == LOAD:
                 self.truth.ended_loads.append(
-                    (self.proc.name, self.proc.life, group, self.truth.at(group, world_now))
+                    (self.proc.name, self.proc.start_count, group, self.truth.at(group, world_now))
                 )
 
 
@@ -325,11 +325,11 @@
     store: type[Store] = Store,
     front: type[Kept] = Kept,
     waits: float = longest(LEASE),
-) -> tuple[Cluster, Truth]:
+) -> tuple[Cluster, CacheChecker]:
     """Build a fleet of caching processes with its checker. The classes may be subclasses with planted
     defects."""
     names = [f"m{at:04}" for at in range(size)]
-    state, truth = AuthorityState(names[: 5 if size >= 5 else 3], waits), Truth(groups)
+    state, truth = AuthorityState(names[: 5 if size >= 5 else 3], waits), CacheChecker(groups)
 
     def make(name: str, rng: random.Random) -> list:
         authority = FakeAuthority(state, rng)
@@ -337,10 +337,12 @@
         return [authority, purges, Requests(truth, purges, rng, rate, loads, front)]
 
     world = Cluster(seed, names, make, places(names, sites, buildings), [truth.check], link, garbage)
-    state.world, world.before = world, truth.before
+    state.world, world.before_effect = world, truth.before_effect
     return world, truth
 
 
 def purge(world: Cluster, name: str, scope: str) -> None:
     """Begin a purge by an operator at a process."""
-    world.do(name, lambda proc: proc.part("purges").purge(proc.clock(), scope, "operator"), "purges")
+    world.call_component(
+        name, lambda proc: proc.part("purges").purge(proc.clock(), scope, "operator"), "purges"
+    )
--- a/standins/scene.py
+++ b/standins/scenario.py
@@ -7,18 +7,18 @@
 from aspenrill.net.hub import Hub
 
 
-def play(hub: Hub, scene: Callable[[], object]) -> None:
-    """Run the hub until `scene` returns; an exception that it raises is raised here."""
+def run_scenario(hub: Hub, scenario: Callable[[], object]) -> None:
+    """Run the hub until `scenario` returns; an exception that it raises is raised here."""
     failure: list[BaseException] = []
 
     def run() -> None:
         try:
-            scene()
+            scenario()
         except BaseException as why:
             failure.append(why)
         hub.stop()
 
-    hub.spawn(run, name="scene")
+    hub.spawn(run, name="scenario")
     hub.run()
     if failure:
         raise failure[0]
--- a/standins/slowlink.py
+++ b/standins/slowlink.py
@@ -50,7 +50,7 @@
 Shaper = Callable[[int], Piece]  # maps the number of buffered bytes to the next piece
 
 
-def straight(buffered: int) -> Piece:
+def unshaped(buffered: int) -> Piece:
     """Forward all bytes without delay."""
     return Piece(buffered)
 
--- a/standins/soak/engines.py
+++ b/standins/soak/engines.py
@@ -8,7 +8,7 @@
 from aspenrill.net.conn import Connection
 from aspenrill.net.hub import Closed, Hub
 
-from ..world import Act, HttpEngine
+from ..world import EngineBehaviour, HttpEngine
 from .records import EngineAttempt
 
 FAULT_OUTCOMES = ("error", "full", "reset", "hang", "garbage")
@@ -42,12 +42,12 @@
         self.rng, self.engine_fault_share = rng, engine_fault_share
         self.attempts: list[EngineAttempt] = []
         self._latest_attempts: dict[str, EngineAttempt] = {}  # by id
-        self.act = self._draw_outcome
+        self.behaviour = self._draw_outcome
 
-    def _draw_outcome(self, statement: str) -> Act:
+    def _draw_outcome(self, statement: str) -> EngineBehaviour:
         after = self.rng.uniform(*(LONG_WORK if self.rng.random() < LONG_WORK_ODDS else SHORT_WORK))
         end = self.rng.choice(FAULT_OUTCOMES) if self.rng.random() < self.engine_fault_share else "ok"
-        return Act(after=0.0 if end == "full" else after, end=end, rows=result_rows(statement))
+        return EngineBehaviour(after=0.0 if end == "full" else after, end=end, rows=result_rows(statement))
 
     def posted(self, conn: Connection, fields: dict[str, str], statement: str) -> None:
         """See HttpEngine; the attempt is recorded first."""
@@ -70,11 +70,11 @@
         self._end(attempt_id)
         super().deleted(attempt_id)
 
-    def news(self, conn: Connection, attempt_id: str) -> None:
+    def answer_poll(self, conn: Connection, attempt_id: str) -> None:
         """See HttpEngine; some polls are never answered, or answered with garbage."""
         query = self.queries.get(attempt_id)
         if query is None:
-            return super().news(conn, attempt_id)
+            return super().answer_poll(conn, attempt_id)
         attempt = self._latest_attempts[attempt_id]
         attempt.last_polled_at = time.monotonic()
         if query[2].end == "hang":
@@ -84,7 +84,7 @@
             conn.write(bytes(self.rng.randrange(1, 9) for _ in range(64)) + b"\r\n\r\n", time.monotonic() + 5)
             raise Closed("garbage")
         try:
-            super().news(conn, attempt_id)
+            super().answer_poll(conn, attempt_id)
         finally:
             if time.monotonic() >= query[1] + query[2].after:
                 attempt.refused = query[2].end == "full"
--- a/standins/soak/soakrun.py
+++ b/standins/soak/soakrun.py
@@ -13,10 +13,10 @@
 from aspenrill.wire import bulletin as wire
 from aspenrill.wire import thrift
 
-from ..discovery import DRAINING, GONE, LIVE, Feed, host
+from ..discovery import DRAINING, GONE, LIVE, BulletinServer, engine_entry
 from ..frontprocess import FrontProcess
-from ..scene import play
-from ..slowlink import RandomShaping, Shaper, SlowLink, straight
+from ..scenario import run_scenario
+from ..slowlink import RandomShaping, Shaper, SlowLink, unshaped
 from ..steppedclock import step_to
 from .badclients import IS_WELL_CALL, BadClient
 from .clients import ClientBehaviour, SoakClient
@@ -76,7 +76,7 @@
         self.records = RunRecords(plan.seed)
         self.finished = False
         self.began_at = 0.0
-        self.feed = Feed(self.hub, [(1, wire.NOTHING, b"")])
+        self.feed = BulletinServer(self.hub, [(1, wire.NOTHING, b"")])
         self.engines: list[SoakEngine] = []
         self.ports: dict[str, int] = {}  # by engine, where front ends reach it
         for _ in range(plan.engines):
@@ -89,7 +89,7 @@
     def run(self) -> RunRecords:
         """Run from the start of the front ends to the end of the last one; return the records."""
         try:
-            play(self.hub, self._run_faults)
+            run_scenario(self.hub, self._run_faults)
         finally:
             for front in self.fronts:
                 front.close()
@@ -140,7 +140,7 @@
                 "serving",
             ]
         front = FrontProcess(self.folder, f"n{number}", words)
-        hosts = [host(name, port) for name, port in self.ports.items()]
+        hosts = [engine_entry(name, port) for name, port in self.ports.items()]
         front.configure(build_settings(self.plan), hosts, self.feed.listener.address, self.plan.sockets)
         return front
 
@@ -245,7 +245,7 @@
         client = self.plan.clients[number]
 
         def shaper(shaping: RandomShaping | None, way: str) -> Shaper:
-            return straight if shaping is None else shaping.shaper(self._stream(f"link {number} {at} {way}"))
+            return unshaped if shaping is None else shaping.shaper(self._stream(f"link {number} {at} {way}"))
 
         return shaper(client.to_front, "there"), shaper(client.to_client, "back")
 
@@ -305,15 +305,15 @@
     def _replace_engine(self, number: int) -> None:
         """Drain an engine, remove it and add a new one."""
         old = self.engines[number]
-        self.feed.tell(old.name, self.ports[old.name], DRAINING)
+        self.feed.publish(old.name, self.ports[old.name], DRAINING)
         self.records.drains[old.name] = time.monotonic()
         self.hub.sleep(DRAIN_DURATION)
         new = self._add_engine()
-        self.feed.tell(old.name, self.ports[old.name], GONE)
-        self.feed.tell(new.name, self.ports[new.name], LIVE, int(time.time() * 1000))
+        self.feed.publish(old.name, self.ports[old.name], GONE)
+        self.feed.publish(new.name, self.ports[new.name], LIVE, int(time.time() * 1000))
 
     def _set_discovery(self, up: bool) -> None:
-        self.feed.tells = up
+        self.feed.sending = up
         if not up:
             for conn in list(self.feed.listener.connections):
                 conn.close()
--- a/standins/world.py
+++ b/standins/world.py
@@ -19,7 +19,7 @@
 from aspenrill.node import Node
 from aspenrill.wire import tds
 
-from . import scene as scenes
+from . import scenario
 from .clients import TdsClient, ThriftClient
 
 CLASSES = ["lookup", "booking", "once", "usage-report"]
@@ -45,11 +45,11 @@
 
 
 @dataclass
-class Act:
+class EngineBehaviour:
     """How an engine executes a statement: the seconds that it takes, and how it ends."""
 
     after: float = 0.0
-    spoilt: bool = False  # its first answer ends within a row
+    cut_first_answer: bool = False  # its first answer ends within a row
     end: str = "ok"  # ok, error, full, reset
     rows: list = field(default_factory=lambda: ROWS)
 
@@ -59,19 +59,19 @@
 
     def __init__(self, hub: Hub, name: str, host: str = "127.0.0.1") -> None:
         self.hub, self.name = hub, name
-        self.act: Callable[[str], Act] = lambda statement: Act()
+        self.behaviour: Callable[[str], EngineBehaviour] = lambda statement: EngineBehaviour()
         self.began: list[tuple[float, str]] = []
         self.stopped: list[str] = []
         self.ended: list[str] = []
-        self.running = self.most = 0
-        self.others: list[Engine] = [self]
+        self.running = self.max_running = 0
+        self.all_engines: list[Engine] = [self]
         self.listener = Listener(hub, (host, 0), self.serve, 500, name)
 
     def attempt_started(self, statement: str) -> None:
         """Record the start of a statement and the concurrency over all engines."""
         self.began.append((time.monotonic(), statement))
         self.running += 1
-        self.most = max(self.most, sum(engine.running for engine in self.others))
+        self.max_running = max(self.max_running, sum(engine.running for engine in self.all_engines))
 
     def attempt_ended(self, statement: str, outcome_list: list[str] | None) -> None:
         """Record the end of a statement in the given list, if any."""
@@ -84,7 +84,7 @@
         """All statements that were started, in order."""
         return [statement for _, statement in self.began]
 
-    def down(self) -> None:
+    def shut_down(self) -> None:
         """Stop listening and close all connections, as if the process had ended."""
         self.listener.close()
         for conn in list(self.listener.connections):
@@ -98,7 +98,7 @@
 
     def __init__(self, hub: Hub, name: str, host: str = "127.0.0.1") -> None:
         super().__init__(hub, name, host)
-        self.queries: dict[str, tuple[str, float, Act]] = {}
+        self.queries: dict[str, tuple[str, float, EngineBehaviour]] = {}
 
     def serve(self, conn: Connection) -> None:
         """Handle the requests of one connection."""
@@ -108,28 +108,28 @@
             fields = dict(line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if line)
             body = conn.read(int(fields.get("content-length", 0)), time.monotonic() + 5)
             if path == "/stats":
-                self.say(conn, 200, {"X-Meter": "util:0.1"})
+                self.respond(conn, 200, {"X-Meter": "util:0.1"})
             elif method == "POST":
                 self.posted(conn, fields, body.decode())
             elif method == "DELETE":
                 self.deleted(path.split("/")[2])
-                self.say(conn, 204)
+                self.respond(conn, 204)
             elif path.endswith("/0"):
-                self.news(conn, path.split("/")[2])
+                self.answer_poll(conn, path.split("/")[2])
             else:
                 _, _, ident, number = path.split("/")
                 if ident not in self.queries:  # deleted meanwhile on another connection
-                    self.say(conn, 500)
+                    self.respond(conn, 500)
                     continue
                 pages = self.pages(self.queries[ident][2])
-                self.say(conn, 200, {"X-Batch": number}, pages[int(number)])
+                self.respond(conn, 200, {"X-Batch": number}, pages[int(number)])
 
     def posted(self, conn: Connection, fields: dict[str, str], statement: str) -> None:
         """Handle a complete POST request; header names are in lower case."""
         ident = fields["x-ticket"]
-        self.queries[ident] = (statement, time.monotonic(), self.act(statement))
+        self.queries[ident] = (statement, time.monotonic(), self.behaviour(statement))
         self.attempt_started(statement)
-        self.news(conn, ident)
+        self.answer_poll(conn, ident)
 
     def deleted(self, ident: str) -> None:
         """Handle the cancellation of a query."""
@@ -137,45 +137,47 @@
         if query:
             self.attempt_ended(query[0], self.stopped)
 
-    def news(self, conn: Connection, ident: str) -> None:
+    def answer_poll(self, conn: Connection, ident: str) -> None:
         """Answer a poll: wait a moment, then report progress, an error or the first page."""
         if ident not in self.queries:
-            return self.say(conn, 500)
-        statement, began, act = self.queries[ident]
-        left = began + act.after - time.monotonic()
+            return self.respond(conn, 500)
+        statement, began, behaviour = self.queries[ident]
+        left = began + behaviour.after - time.monotonic()
         self.hub.sleep(max(0.0, min(0.25, left)))
         if ident not in self.queries:
-            return self.say(conn, 500)
+            return self.respond(conn, 500)
         if left > 0.25:
-            return self.say(conn, 202, {"X-Remark": "frac", "X-Num": str(1 - (left - 0.25) / act.after)})
-        if act.end != "ok":
+            return self.respond(
+                conn, 202, {"X-Remark": "frac", "X-Num": str(1 - (left - 0.25) / behaviour.after)}
+            )
+        if behaviour.end != "ok":
             del self.queries[ident]
             self.attempt_ended(statement, None)
-        if act.end == "reset":
+        if behaviour.end == "reset":
             raise Closed
-        if act.end == "full":
-            return self.say(conn, 503, {"X-Shed": "1"})
-        if act.end == "error":
-            return self.say(conn, 500)
+        if behaviour.end == "full":
+            return self.respond(conn, 503, {"X-Shed": "1"})
+        if behaviour.end == "error":
+            return self.respond(conn, 500)
         self.attempt_ended(statement, self.ended)
-        pages = self.pages(act)
-        if act.spoilt:
-            act.spoilt = False
-            return self.say(conn, 200, {"X-Batches": "1"}, b"half a row\tand no more")
-        spent = str(round(act.after * 1000) or 5)
-        self.say(conn, 200, {"X-Batches": str(len(pages)), "X-Spent": spent, "X-Wanted": "8"}, pages[0])
-
-    def pages(self, act: Act) -> list[bytes]:
+        pages = self.pages(behaviour)
+        if behaviour.cut_first_answer:
+            behaviour.cut_first_answer = False
+            return self.respond(conn, 200, {"X-Batches": "1"}, b"half a row\tand no more")
+        spent = str(round(behaviour.after * 1000) or 5)
+        self.respond(conn, 200, {"X-Batches": str(len(pages)), "X-Spent": spent, "X-Wanted": "8"}, pages[0])
+
+    def pages(self, behaviour: EngineBehaviour) -> list[bytes]:
         """Return the rows of an answer as pages."""
         pages = [b""]
-        for row in act.rows:
+        for row in behaviour.rows:
             line = ("\t".join(row) + "\n").encode()
             if len(pages[-1]) + len(line) > self.page:
                 pages.append(b"")
             pages[-1] += line
         return pages
 
-    def say(self, conn: Connection, status: int, fields: dict | None = None, body: bytes = b"") -> None:
+    def respond(self, conn: Connection, status: int, fields: dict | None = None, body: bytes = b"") -> None:
         """Write an HTTP response."""
         lines = "".join(f"{k}: {v}\r\n" for k, v in (fields or {}).items())
         length = "" if status == 204 else f"Content-Length: {len(body)}\r\n"
@@ -193,24 +195,24 @@
                 kind, last, data = read_packet(conn, time.monotonic() + 60)
                 body += data
             if kind == tds.PRELOGIN:
-                self.say(conn, tds.prelogin())
+                self.respond(conn, tds.prelogin())
             elif kind == tds.LOGIN7:
-                self.say(conn, tds.login_answer(tds.read_login7(body), self.name))
+                self.respond(conn, tds.login_answer(tds.read_login7(body), self.name))
             elif kind == tds.ATTENTION:
-                self.say(conn, tds.done(tds.ACKNOWLEDGED))
+                self.respond(conn, tds.done(tds.ACKNOWLEDGED))
             else:
                 self.batch(conn, tds.read_sql_batch(body))
 
     def batch(self, conn: Connection, statement: str) -> None:
         """Execute a SQL batch and write its answer."""
-        act = self.act(statement)
+        behaviour = self.behaviour(statement)
         self.attempt_started(statement)
-        until, number = time.monotonic() + act.after, 0
+        until, number = time.monotonic() + behaviour.after, 0
         out = tds.text_columns(["a", "b", "c"])
-        if act.end == "ok":
-            out += b"".join(tds.text_row(list(row)) for row in act.rows)
+        if behaviour.end == "ok":
+            out += b"".join(tds.text_row(list(row)) for row in behaviour.rows)
         while time.monotonic() < until:
-            if act.after > 1 and act.end == "ok" and out:  # a long answer is streamed
+            if behaviour.after > 1 and behaviour.end == "ok" and out:  # a long answer is streamed
                 number += 1
                 piece, out = out[:700], out[700:]
                 conn.write(
@@ -226,16 +228,16 @@
                 raise
             if read_packet(conn, time.monotonic() + 5)[0] == tds.ATTENTION:
                 self.attempt_ended(statement, self.stopped)
-                return self.say(conn, tds.done(tds.ACKNOWLEDGED))
-        self.attempt_ended(statement, self.ended if act.end == "ok" else None)
-        if act.end == "reset":
+                return self.respond(conn, tds.done(tds.ACKNOWLEDGED))
+        self.attempt_ended(statement, self.ended if behaviour.end == "ok" else None)
+        if behaviour.end == "reset":
             raise Closed
-        if act.end != "ok":
-            number = 10928 if act.end == "full" else 8134
-            return self.say(conn, tds.error(number, "no") + tds.done(tds.BAD))
-        self.say(conn, out + tds.done(rows=len(act.rows)))
+        if behaviour.end != "ok":
+            number = 10928 if behaviour.end == "full" else 8134
+            return self.respond(conn, tds.error(number, "no") + tds.done(tds.BAD))
+        self.respond(conn, out + tds.done(rows=len(behaviour.rows)))
 
-    def say(self, conn: Connection, body: bytes) -> None:
+    def respond(self, conn: Connection, body: bytes) -> None:
         """Write a TDS reply message."""
         conn.write(tds.packets(tds.REPLY, body), time.monotonic() + 5)
 
@@ -260,7 +262,7 @@
             for i in range(engines)
         ]
         for engine in self.engines:
-            engine.others = self.engines
+            engine.all_engines = self.engines
         if protocol == "thrift":
             self.node = Node(
                 self.hub,
@@ -301,7 +303,7 @@
         self.address = self.node.listen(("127.0.0.1", 0), service, protocol).address
         self.number = 0
         if listed:
-            self.tell([self.member(e) for e in self.engines], whole=True)
+            self.announce([self.member(e) for e in self.engines], whole=True)
 
     def member(
         self, engine: Engine, state: api.EngineState = api.EngineState.LIVE, started: float = 0.0
@@ -309,7 +311,7 @@
         """Return the member record of one of the engines."""
         return Member(engine.name, engine.listener.address, state, started=started)
 
-    def tell(self, members: list[Member], whole: bool = False) -> None:
+    def announce(self, members: list[Member], whole: bool = False) -> None:
         """Post a list update to the program."""
         self.number += 1
         self.node.post(News(self.number, whole, tuple(members)))
@@ -325,10 +327,10 @@
             assert time.monotonic() < end, "did not come true in time"
             self.hub.sleep(0.01)
 
-    def run(self, play: Callable[[], None]) -> None:
+    def run(self, test: Callable[[], None]) -> None:
         """Run a test function to its end; an exception that it raises fails the test."""
         try:
-            scenes.play(self.hub, play)
+            scenario.run_scenario(self.hub, test)
         finally:
             self._close_all()
         assert not [text for text in self.logged if text.startswith("error")], self.logged
--- a/tests/authority_world.py
+++ b/tests/authority_world.py
@@ -31,7 +31,7 @@
     def _effect(self, proc, part, effect) -> None:
         super()._effect(proc, part, effect)
         if isinstance(effect, Notify):
-            record, life_id = effect.fact, (proc.name, proc.life)
+            record, life_id = effect.fact, (proc.name, proc.start_count)
             assert record.number > self.last_reported.get(life_id, 0), f"{proc.name}: {record.number} is late"
             self.last_reported[life_id] = record.number
             if record.body == b"" and proc.name == self.table_receiver:
@@ -72,7 +72,7 @@
             return False
         self.proposals += 1
         body = body and b"%d %s" % (self.proposals, body)
-        self.do(proc.name, lambda p: p.parts[0].propose(p.clock(), kind, key, body))
+        self.call_component(proc.name, lambda p: p.parts[0].propose(p.clock(), kind, key, body))
         return True
 
     def demand(self, every: float, keys: int, seconds: float) -> None:
--- a/tests/frontend.py
+++ b/tests/frontend.py
@@ -12,7 +12,7 @@
 from aspenrill.net.hub import Hub
 from aspenrill.wire import bulletin as wire
 from standins.clients import ThriftClient
-from standins.discovery import LIVE, Feed, host
+from standins.discovery import LIVE, BulletinServer, engine_entry
 from standins.frontprocess import FrontProcess
 from standins.world import HttpEngine
 
@@ -25,7 +25,7 @@
     def __init__(self, folder: Path, launcher: Sequence[str], engine: type[HttpEngine] = HttpEngine) -> None:
         self.lines: list[str] = []
         self.hub = Hub(self.lines.append)
-        self.feed = Feed(self.hub, [])
+        self.feed = BulletinServer(self.hub, [])
         self.engines = [engine(self.hub, f"s-{number:08x}") for number in (1, 2)]
         self.front = FrontProcess(folder, "n", launcher)
         self.address = self.front.address
@@ -39,7 +39,7 @@
     def start(self, settings: dict, born_ms: Sequence[int | None] = (0, 0)) -> None:
         """Starts the process with a list of the engines, without those whose birth time is None."""
         hosts = [
-            host(engine.name, engine.listener.address[1], born)
+            engine_entry(engine.name, engine.listener.address[1], born)
             for engine, born in zip(self.engines, born_ms, strict=True)
             if born is not None
         ]
@@ -62,7 +62,7 @@
 
     def announce(self, engine: HttpEngine, born_ms: int) -> None:
         """Adds an engine through the bulletin."""
-        self.feed.tell(engine.name, engine.listener.address[1], LIVE, born_ms)
+        self.feed.publish(engine.name, engine.listener.address[1], LIVE, born_ms)
 
     def start_times(self, statement: str) -> list[float]:
         """Returns the times at which the statement was started, on any engine."""
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -10,7 +10,7 @@
 from aspenrill.engines.http import HttpEngines
 from aspenrill.net.hub import Hub
 from aspenrill.net.listener import Listener
-from standins.scene import play
+from standins.scenario import run_scenario
 from standins.world import CLASSES, SETTINGS
 
 LONG = 20.0  # seconds; a time-out that a passing test never reaches
@@ -89,9 +89,9 @@
         assert len(mine()) == 1
         return mine()[0]
 
-    def play(self, scene) -> None:
+    def play(self, scenario) -> None:
         try:
-            play(self.hub, scene)
+            run_scenario(self.hub, scenario)
         finally:
             self.listener.close()
             for conn in list(self.listener.connections):
--- a/tests/test_answer_writer.py
+++ b/tests/test_answer_writer.py
@@ -11,7 +11,7 @@
 from aspenrill.net.conn import Connection
 from aspenrill.net.hub import Hub
 from aspenrill.wire import thrift
-from standins.scene import play
+from standins.scenario import run_scenario
 
 SIZE = 200_000  # bytes of an answer, more than the kernel's buffers hold
 
@@ -42,7 +42,7 @@
     hub, writer, conn, far = writer_of(1 << 30, 10)
     got: list[bytes] = []
 
-    def scene() -> None:
+    def scenario() -> None:
         for number, letter in ((1, b"a"), (2, b"b"), (3, b"c")):
             writer.send(number, answer(number, letter))
         writer.flush()
@@ -53,7 +53,7 @@
         got.append(received(hub, far, 3 * len(answer(1, b"a"))))
         writer.wait()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert got == [answer(1, b"a") + answer(3, b"c") + answer(4, b"d")]
     assert writer.unread.total == writer.unread.writing == conn.busy == 0
     conn.close()
@@ -67,14 +67,14 @@
     failure = thrift.thrown("serve", 3, 2, {"reason": "answers are not read"})
     got: list[bytes] = []
 
-    def scene() -> None:
+    def scenario() -> None:
         for number in (1, 2, 3):
             writer.send(number, answer(number, b"x"))
         writer.flush()
         got.append(received(hub, far, len(whole) + (3 - kept) * len(failure)))
         writer.wait()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert got[0].startswith(whole) and got[0].endswith(failure)
     assert writer.unread.total == 0
     conn.close()
--- a/tests/test_arrival_bound.py
+++ b/tests/test_arrival_bound.py
@@ -9,7 +9,7 @@
 import pytest
 
 from aspenrill.net.hub import READ, Hub
-from standins.scene import play
+from standins.scenario import run_scenario
 
 STOP_S = 0.3
 
@@ -38,14 +38,14 @@
     hub, dated = Hub(), []
     ours, theirs = socket.socketpair()
 
-    def scene() -> None:
+    def scenario() -> None:
         hub.sleep(0.05)
         came = time.monotonic()
         hub._poll = StoppedPoll(hub._poll, lambda: theirs.send(b"x"), fails)
         hub.wait_fd(ours.fileno(), READ, 5.0)
         dated.append((came, hub.arrivals_after, time.monotonic()))
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     [(came, since, now)] = dated
     assert since <= came + 0.05 and now >= came + STOP_S
     ours.close()
@@ -56,14 +56,14 @@
     hub, spans = Hub(), []
     ours, theirs = socket.socketpair()
 
-    def scene() -> None:
+    def scenario() -> None:
         for _ in range(20):
             hub.timers.after(0.01, theirs.send, b"x")
             hub.wait_fd(ours.fileno(), READ, 5.0)
             spans.append(time.monotonic() - hub.arrivals_after)
             ours.recv(10)
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert sorted(spans)[10] < 0.05
     ours.close()
     theirs.close()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -179,8 +179,8 @@
         engine, engines = world.engines[0], world.node.owner.engines
         post = engines.post
         engines.post = lambda event: (seen.append(event), post(event))
-        engine.batch = lambda conn, statement: engine.say(conn, tokens)
-        world.client("once").ask("insert 1; insert 2")
+        engine.batch = lambda conn, statement: engine.respond(conn, tokens)
+        world.client("once").request("insert 1; insert 2")
         assert [end.outcome for end in seen if isinstance(end, Ended)][0] is outcome
 
     world.run(scene)
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -58,7 +58,7 @@
     assert w.until(w.ready, 30)
     name, epoch = w.coordinator().name, max(w.epoch_holders)
     cut = next(other for other in w.names if other != name)
-    w.net.part([cut])
+    w.net.partition([cut])
     w.run(20)
     w.net.heal()
     w.run(20)
@@ -106,7 +106,7 @@
     w.propose("stays")
     w.propose("ends")
     w.run(2)
-    w.net.part(["p3"])
+    w.net.partition(["p3"])
     w.propose("ends", b"")
     for number in range(20):
         w.propose(f"short{number}")
@@ -172,7 +172,9 @@
     for _ in range(300):
         body = rng.randbytes(rng.randrange(60))
         for proc in w.running:
-            w.do(proc.name, lambda p, b=body: p.parts[0].on_message(p.clock(), "p1", p.incarnation, b))
+            w.call_component(
+                proc.name, lambda p, b=body: p.parts[0].on_message(p.clock(), "p1", p.incarnation, b)
+            )
     w.run(12)
     assert w.until(w.converged, 20)
 
--- a/tests/test_authority_world.py
+++ b/tests/test_authority_world.py
@@ -17,7 +17,7 @@
 from standins.faults import Link, schedule
 
 VIOLATIONS = "two |another one|used twice|not all know|changed"
-KINDS = ("crash", "restart", "pause", "part", "cut", "weather", "leave", "trip", "disk")
+KINDS = ("crash", "restart", "pause", "partition", "cut", "link", "leave", "fail_after", "disk")
 
 
 def play(seed: int, kind=AuthorityPart, size: int = 3, voters: int = 3, seconds: float = 40.0) -> World:
@@ -123,14 +123,14 @@
         if proc.name == new and isinstance(effect, Notify):
             world.net.cut(new, voter)
 
-    world.before = cut
+    world.before_effect = cut
     assert world.until(lambda: world.coordinator() is world.procs[new], 8)
     world.propose("key")
     world.run(0.5)
     assert world.ledger and world.procs[voter].parts[0].table.last == 0
     world.run(10)
     world.crash(new)
-    world.before = None
+    world.before_effect = None
     world.net.clear()
     assert world.until(world.settled, 60)
     return world
--- a/tests/test_both.py
+++ b/tests/test_both.py
@@ -10,7 +10,7 @@
 from aspenrill import api
 from aspenrill.core.books import Closing
 from standins.clients import Reply
-from standins.world import ROWS, SETTINGS, Act, World
+from standins.world import ROWS, SETTINGS, EngineBehaviour, World
 
 PROTOCOLS = pytest.mark.parametrize("protocol", ["thrift", "tds"])
 WIDE = [(str(i), "x" * 40, "end") for i in range(700)]  # several pages or packets, under 48,000 bytes
@@ -24,10 +24,10 @@
 
     def play():
         for engine in world.engines:
-            engine.act = lambda s: Act(rows=rows)
+            engine.behaviour = lambda s: EngineBehaviour(rows=rows)
         client = world.client()
         for _ in range(3):
-            assert client.ask("select * from sales_1.x") == Reply("served", rows)
+            assert client.request("select * from sales_1.x") == Reply("served", rows)
 
     world.run(play)
 
@@ -38,13 +38,13 @@
     world = World(protocol, 1)
 
     def play():
-        world.engines[0].act = lambda s: Act(after=30)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=30)
         client, began = world.client(timeout=0.5), time.monotonic()
-        assert client.ask("select slow").kind in ("refused", "failed")
+        assert client.request("select slow").kind in ("refused", "failed")
         assert time.monotonic() - began < 0.57
         world.until(lambda: world.engines[0].stopped == ["select slow"])
-        world.engines[0].act = lambda s: Act()
-        assert client.ask("select again").kind == "served"  # and no second answer came in between
+        world.engines[0].behaviour = lambda s: EngineBehaviour()
+        assert client.request("select again").kind == "served"  # and no second answer came in between
 
     world.run(play)
 
@@ -55,7 +55,7 @@
     world = World(protocol, 1)
 
     def play():
-        world.engines[0].act = lambda s: Act(after=3 if "slow" in s else 0)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=3 if "slow" in s else 0)
         client = world.client()
         client.send("select slow")
         world.until(lambda: world.engines[0].began)
@@ -63,7 +63,7 @@
         if protocol == "tds":
             assert client.read(5).kind == "cancelled"
         world.until(lambda: world.engines[0].stopped == ["select slow"])
-        assert client.ask("select quick").rows == ROWS
+        assert client.request("select quick").rows == ROWS
 
     world.run(play)
 
@@ -74,7 +74,7 @@
     world = World(protocol, 1)
 
     def play():
-        world.engines[0].act = lambda s: Act(after=5)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=5)
         client = world.client()
         client.send("select slow")
         world.until(lambda: world.engines[0].began)
@@ -102,11 +102,13 @@
     world = World(protocol)
 
     def play():
-        world.client(cls).ask("select 1")  # from here on its usual latency is known
+        world.client(cls).request("select 1")  # from here on its usual latency is known
         for engine in world.engines:
             engine.began.clear()
-            engine.act = lambda s: Act(end="ok" if sum(len(e.began) for e in world.engines) else end)
-        assert world.client(cls).ask("insert into sales_2.x").kind == kind
+            engine.behaviour = lambda s: EngineBehaviour(
+                end="ok" if sum(len(e.began) for e in world.engines) else end
+            )
+        assert world.client(cls).request("insert into sales_2.x").kind == kind
         assert sum(len(e.began) for e in world.engines) == starts
 
     world.run(play)
@@ -120,9 +122,9 @@
 
     def play():
         for engine in world.engines:
-            engine.act = lambda s: Act(end="full")
+            engine.behaviour = lambda s: EngineBehaviour(end="full")
         began = time.monotonic()
-        assert world.client(cls).ask("select 1").kind == "refused"
+        assert world.client(cls).request("select 1").kind == "refused"
         assert time.monotonic() - began < 4
 
     world.run(play)
@@ -135,9 +137,9 @@
     world = World(protocol)
 
     def play():
-        world.engines[0].down()
+        world.engines[0].shut_down()
         for _ in range(4):
-            assert world.client(cls).ask("select 1").kind == "served"
+            assert world.client(cls).request("select 1").kind == "served"
         assert not world.engines[0].began
 
     world.run(play)
@@ -149,12 +151,12 @@
     world = World(protocol)
 
     def play():
-        world.client().ask("select 1")
+        world.client().request("select 1")
         for engine in world.engines:
             engine.began.clear()
-            engine.act = lambda s: Act(after=0.3, end="reset")
-        world.client().ask("select 1")
-        assert sum(len(e.began) for e in world.engines) > 1 and max(e.most for e in world.engines) == 1
+            engine.behaviour = lambda s: EngineBehaviour(after=0.3, end="reset")
+        world.client().request("select 1")
+        assert sum(len(e.began) for e in world.engines) > 1 and max(e.max_running for e in world.engines) == 1
 
     world.run(play)
 
@@ -167,17 +169,19 @@
     def play():
         a, b = world.engines
         for engine in world.engines:
-            engine.act = lambda s: Act(after=1.6 if "long" in s else 0, rows=WIDE if "long" in s else ROWS)
-        world.tell([world.member(b, api.EngineState.DRAINING)])
+            engine.behaviour = lambda s: EngineBehaviour(
+                after=1.6 if "long" in s else 0, rows=WIDE if "long" in s else ROWS
+            )
+        world.announce([world.member(b, api.EngineState.DRAINING)])
         world.hub.sleep(0.05)
         report = world.client("usage-report")
         report.send("select long from sales_1.x")
         world.until(lambda: a.began)
-        world.tell([world.member(a, api.EngineState.DRAINING), world.member(b)])
+        world.announce([world.member(a, api.EngineState.DRAINING), world.member(b)])
         reported = time.monotonic()
         client = world.client()
         while time.monotonic() < reported + 1.0:
-            assert client.ask("select 1").kind == "served"
+            assert client.request("select 1").kind == "served"
         late = [at for at, s in a.began if at > reported + 0.5]
         assert not late and len(b.began) > 3
         assert report.read(10).rows == WIDE and a.ended.count("select long from sales_1.x") == 1
@@ -192,13 +196,13 @@
 
     def play():
         a, client = world.engines[0], world.client()
-        assert client.ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
         peer = world.node.owner.peers[a.name]
         assert peer.idle
         old = peer.idle[0]
         new = replace(world.member(a), engine="s-000000ff")
-        world.tell([world.member(a, api.EngineState.GONE), new])
-        assert client.ask("select 2").kind == "served"
+        world.announce([world.member(a, api.EngineState.GONE), new])
+        assert client.request("select 2").kind == "served"
         assert not old.open and [p.engine for p in world.node.owner.peers.values()] == ["s-000000ff"]
 
     world.run(play)
@@ -212,8 +216,8 @@
     def play():
         warm, cold = world.engines
         for engine in world.engines:
-            engine.act = lambda s: Act(after=0.05)
-        world.tell([world.member(cold, started=time.monotonic())])
+            engine.behaviour = lambda s: EngineBehaviour(after=0.05)
+        world.announce([world.member(cold, started=time.monotonic())])
         world.hub.sleep(0.05)
         clients = [world.client() for _ in range(12)]
         until = time.monotonic() + 1.5
@@ -235,7 +239,7 @@
     world = World(protocol, 1)
 
     def play():
-        world.engines[0].act = lambda s: Act(after=9 if "slow" in s else 0)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=9 if "slow" in s else 0)
         slow, quick = world.client("usage-report"), world.client()
         slow.send("select slow")
         world.until(lambda: world.engines[0].began)
@@ -245,7 +249,7 @@
         world.hub.spawn(world.node.leave)
         world.hub.sleep(0.6)
         assert not world.node.owner.well
-        assert quick.ask("select 1").kind == "served"
+        assert quick.request("select 1").kind == "served"
         assert slow.read(6).kind in ("refused", "failed")
         world.until(lambda: stopped)
         world.hub.stop = stop
@@ -261,9 +265,9 @@
 
     def play():
         client = world.client()
-        assert client.ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
         world.node.post(Closing())
-        assert client.ask("select 2").kind == "refused" and world.engines[0].statements == ["select 1"]
+        assert client.request("select 2").kind == "refused" and world.engines[0].statements == ["select 1"]
 
     world.run(play)
 
@@ -274,7 +278,7 @@
     world = World(protocol, 1)
 
     def play():
-        world.engines[0].act = lambda s: Act(rows=WIDE)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(rows=WIDE)
         client = world.client()
         for _ in range(3):
             client.send("select 1")
--- a/tests/test_both_connections.py
+++ b/tests/test_both_connections.py
@@ -17,7 +17,7 @@
 from aspenrill.net.conn import Connection
 from aspenrill.net.connecting import connect
 from aspenrill.net.hub import Closed, Task, TimedOut
-from standins.world import Act, World
+from standins.world import EngineBehaviour, World
 
 PROTOCOLS = pytest.mark.parametrize("protocol", ["thrift", "tds"])
 
@@ -30,7 +30,7 @@
     def play():
         client = world.client("once")
         for i in range(3):
-            assert client.ask(f"insert {i}").kind == "served"
+            assert client.request(f"insert {i}").kind == "served"
             for conn in list(world.engines[0].listener.connections):
                 conn.close()
             world.hub.sleep(0.02)
@@ -76,12 +76,12 @@
 
     def play():
         world.node.pools.max_connections = 2
-        world.engines[0].act = lambda s: Act(after=0.02)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=0.02)
         clients = [world.client() for _ in range(6)]
         for client in clients:
             client.send("select 1")
         assert [client.read(5).kind for client in clients] == ["served"] * 6
-        assert world.engines[0].most <= 2 and world.node.pools.count <= 2
+        assert world.engines[0].max_running <= 2 and world.node.pools.count <= 2
 
     world.run(play)
 
@@ -94,11 +94,11 @@
     def play():
         listener = world.node.fronts[0][1]
         listener.max_connections = 6
-        world.engines[0].act = lambda s: Act(after=1.0 if s == "slow" else 0)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=1.0 if s == "slow" else 0)
         first = world.client()
         first.send("slow")
         for _ in range(20):
-            assert world.client().ask("select 1").kind == "served"
+            assert world.client().request("select 1").kind == "served"
         assert len(listener.connections) <= 6
         assert first.read(5).kind == "served"  # it had an open request
 
@@ -115,12 +115,12 @@
         listener = world.node.fronts[0][1]
         listener.max_connections = 6
         client = world.client()
-        assert client.ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
         silent = [connect(world.hub, world.address, time.monotonic() + 2) for _ in range(40)]
         for conn in silent[::2]:
             conn.write(b"\x12\0", time.monotonic() + 2)
-        assert client.ask("select 1").kind == "served"
-        assert world.client().ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
+        assert world.client().request("select 1").kind == "served"
         assert len(listener.connections) <= 6
         ended = 0
         for conn in silent:
@@ -150,21 +150,21 @@
     def churn(rounds: int) -> None:
         for at in range(rounds):
             client = world.client()
-            assert client.ask("select 1").kind == "served"
+            assert client.request("select 1").kind == "served"
             if at % 3 == 0:
                 client.close()
             elif at % 3 == 1:
-                world.engines[0].act = lambda s: Act(after=5)
+                world.engines[0].behaviour = lambda s: EngineBehaviour(after=5)
                 client.send("select slow")
                 world.until(lambda: world.engines[0].running)
                 client.close()
-                world.engines[0].act = lambda s: Act()
+                world.engines[0].behaviour = lambda s: EngineBehaviour()
                 world.until(lambda: not world.engines[0].running)
             else:
                 stays.append(client.conn.sock.dup())  # sent one request and keeps its connection
             gone = Member(f"s-{at:08x}f", ("127.0.0.1", 9), api.EngineState.LIVE)
-            world.tell([gone])
-            world.tell([replace(gone, state=api.EngineState.GONE)])
+            world.announce([gone])
+            world.announce([replace(gone, state=api.EngineState.GONE)])
         client = None
         world.hub.sleep(0.4)
         for peer in world.node.owner.peers.values():
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -12,7 +12,7 @@
 from aspenrill import api
 from aspenrill.core import books
 from aspenrill.wire import thrift
-from standins.world import ROWS, SETTINGS, Act, World
+from standins.world import ROWS, SETTINGS, EngineBehaviour, World
 
 LARGE_ENGINES = replace(SETTINGS, cores_by_kind=(64,))
 PROTOCOLS = pytest.mark.parametrize("protocol", ["thrift", "tds"])
@@ -66,7 +66,7 @@
 
     def play():
         client, listener = world.client(), world.node.fronts[0][1]
-        assert client.ask("select 0").rows == ROWS
+        assert client.request("select 0").rows == ROWS
         count = 60 if size > 1 else 5  # 5 short ones are read at once, and nothing unread remains
         data = capture_writes(client, lambda: [client.send("select 1" + " " * size) for _ in range(count)])
         world.hub.lag = lambda: lag
@@ -104,7 +104,7 @@
     world = World("thrift", 1)
 
     def play():
-        world.engines[0].act = lambda statement: Act(after=5)
+        world.engines[0].behaviour = lambda statement: EngineBehaviour(after=5)
         client = world.client()
         client.send("select 1")
         world.until(lambda: world.engines[0].began)
@@ -172,7 +172,7 @@
     def play():
         client, starts = world.client(), record_attempts(world)
         for engine in world.engines:
-            engine.act = lambda statement: Act(end="full")
+            engine.behaviour = lambda statement: EngineBehaviour(end="full")
 
         def gone(end) -> bool:
             client.close()
@@ -199,7 +199,7 @@
                 caller.setblocking(False)
                 caller.connect_ex(full.getsockname())
             world.node.pools.connect_for = 60.0
-            world.tell([replace(world.member(world.engines[0]), address=full.getsockname())])
+            world.announce([replace(world.member(world.engines[0]), address=full.getsockname())])
             client, peers = world.client(), world.node.owner.peers
             client.send("select 1")
             world.until(lambda: any(peer.dialing for peer in peers.values()))
@@ -222,9 +222,9 @@
         owner, held, clients = world.node.owner, world.node.owner.gateway.held, []
         for _ in range(4):
             assert (
-                world.client().ask("select 1").rows == ROWS
+                world.client().request("select 1").rows == ROWS
             )  # requests of a class with a known short latency are queued
-        world.engines[0].act = lambda statement: Act(after=0.3)
+        world.engines[0].behaviour = lambda statement: EngineBehaviour(after=0.3)
         while not held and len(clients) < 40:
             clients.append(world.client())
             clients[-1].send(f"select {len(clients)}")
@@ -253,6 +253,6 @@
         world.until(lambda: world.engines[0].ended and not listener.connections)
         world.until(lambda: not world.node.owner.open)
         assert world.node.fronts[0][0].unread.writing == 0
-        assert world.client().ask("select 2").rows == ROWS
+        assert world.client().request("select 2").rows == ROWS
 
     world.run(play)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -13,9 +13,9 @@
 
 from aspenrill.net.conn import Connection
 from standins.clients import Reply, ThriftClient
-from standins.scene import play
+from standins.scenario import run_scenario
 from standins.steppedclock import step_to
-from standins.world import Act, HttpEngine
+from standins.world import EngineBehaviour, HttpEngine
 
 WINDOW = 1.0  # seconds in which engines recognize a repeated keyed request
 SLACK = 0.05  # seconds that the protocol adds to each time limit
@@ -49,17 +49,19 @@
 
     stalls_at = BAD_PLAN_AT
 
-    def news(self, conn: Connection, ident: str) -> None:
-        statement, began, act = self.queries.get(ident, ("", 0.0, Act()))
+    def answer_poll(self, conn: Connection, ident: str) -> None:
+        statement, began, behaviour = self.queries.get(ident, ("", 0.0, EngineBehaviour()))
         if statement != "long":
-            return super().news(conn, ident)
+            return super().answer_poll(conn, ident)
         self.hub.sleep(0.05)
         age = time.monotonic() - began
         if ident not in self.queries:
-            return self.say(conn, 500)
-        if age >= act.after:
-            return super().news(conn, ident)
-        return self.say(conn, 202, {"X-Remark": "frac", "X-Num": "0.99" if age < self.stalls_at else "0.01"})
+            return self.respond(conn, 500)
+        if age >= behaviour.after:
+            return super().answer_poll(conn, ident)
+        return self.respond(
+            conn, 202, {"X-Remark": "frac", "X-Num": "0.99" if age < self.stalls_at else "0.01"}
+        )
 
 
 class SteppedFrontEnd(FrontEnd):
@@ -74,10 +76,10 @@
         """Sets the offset of the process's wall clock."""
         step_to(self.offset, seconds)
 
-    def act(self, act: Act, stalls_at: float = BAD_PLAN_AT) -> None:
+    def behaviour(self, behaviour: EngineBehaviour, stalls_at: float = BAD_PLAN_AT) -> None:
         """Sets what engines do from now on."""
         for engine in self.engines:
-            engine.act, engine.stalls_at = lambda statement: act, stalls_at
+            engine.behaviour, engine.stalls_at = lambda statement: behaviour, stalls_at
 
 
 @pytest.fixture
@@ -91,12 +93,12 @@
     """Teaches the front end that queries are short, then sends one that stalls and steps the clock."""
     replies: list[Reply] = []
 
-    def scene() -> None:
+    def scenario() -> None:
         client = stepped.client("booking")
-        stepped.act(Act())
+        stepped.behaviour(EngineBehaviour())
         for number in range(10):
-            assert client.ask(f"short {number}", MAX_WAIT_S).kind == "served"
-        stepped.act(Act(after=3 * WINDOW), stalls_at)
+            assert client.request(f"short {number}", MAX_WAIT_S).kind == "served"
+        stepped.behaviour(EngineBehaviour(after=3 * WINDOW), stalls_at)
         client.send("long")
         while not stepped.start_times("long"):
             stepped.hub.sleep(0.01)
@@ -104,7 +106,7 @@
         replies.append(client.read(MAX_WAIT_S))
 
     stepped.start(SETTINGS)
-    play(stepped.hub, scene)
+    run_scenario(stepped.hub, scenario)
     return replies[0], stepped.start_times("long")
 
 
@@ -127,12 +129,12 @@
 
 @pytest.mark.parametrize("by", [0.0, -3600.0, 3600.0])
 def test_a_queued_request_keeps_its_deadline(stepped, by):
-    def scene() -> None:
+    def scenario() -> None:
         client = stepped.client("booking")
-        stepped.act(Act())
+        stepped.behaviour(EngineBehaviour())
         for number in range(10):
-            assert client.ask(f"short {number}", MAX_WAIT_S).kind == "served"
-        stepped.act(Act(after=1.0))
+            assert client.request(f"short {number}", MAX_WAIT_S).kind == "served"
+        stepped.behaviour(EngineBehaviour(after=1.0))
         for statement in ("blocks", "blocks", "queued"):  # one request fills an engine
             client.send(statement)
         while len(stepped.start_times("blocks")) < 2:
@@ -142,7 +144,7 @@
 
     replies: list[str] = []
     stepped.start(SETTINGS | {"family_info": {"cores_by_kind": [1]}})
-    play(stepped.hub, scene)
+    run_scenario(stepped.hub, scenario)
     assert replies == ["served"] * 3, stepped.log()
     assert stepped.start_times("queued")[0] > stepped.start_times("blocks")[0] + 0.9
 
@@ -155,7 +157,7 @@
         number = 0
         while time.monotonic() < until:
             number += 1
-            client.ask(f"load {me} {number}", MAX_WAIT_S)
+            client.request(f"load {me} {number}", MAX_WAIT_S)
         running[0] -= 1
 
     for me in range(CLIENTS):
@@ -181,7 +183,7 @@
 def test_a_cold_engine_is_not_overloaded(stepped, by, at_start):
     warm, cold = stepped.engines
 
-    def scene() -> None:
+    def scenario() -> None:
         stepped.client("lookup")  # it is up
         if not at_start:
             send_load(stepped, 0.5)
@@ -190,12 +192,12 @@
             born.append(time.monotonic())
         send_load(stepped, 2.5)
 
-    stepped.act(Act(after=WORK))
+    stepped.behaviour(EngineBehaviour(after=WORK))
     born: list[float] = []
     if at_start:
         stepped.step(by)
         born.append(time.monotonic())
     stepped.start(COLD_SETTINGS, (0, round(time.time() * 1000) if at_start else None))
-    play(stepped.hub, scene)
+    run_scenario(stepped.hub, scenario)
     assert_within_limit(cold, born[0])
     assert cold.began and len(warm.began) > len(cold.began)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -9,7 +9,7 @@
 
 from aspenrill.errors import StateTrouble
 from aspenrill.fleet.interface import MAX_CLOCK_DRIFT, Agreed, LogLine, Notify, Post, Put, State, Store
-from standins.cluster import Broken, Cluster
+from standins.cluster import Cluster, SimulationError
 from standins.faults import Link, schedule
 from standins.peered import PeeredCluster
 
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("part", [CountsFromReceipt, ForgetsAfterRestart, UsesStaleTime])
 def test_defects_are_detected(part):
-    with pytest.raises(Broken, match=r"seed \d+, .* s: AssertionError: \d units of 4"):
+    with pytest.raises(SimulationError, match=r"seed \d+, .* s: AssertionError: \d units of 4"):
         for seed in range(60):
             play(part, seed)
 
@@ -136,7 +136,7 @@
 def test_a_seed_is_reproducible():
     def steps(seed):
         world = play(Lender, seed, 30.0)
-        return world.steps, [(p.name, p.life, p.clock(), p.part("lender").held) for p in world.running]
+        return world.steps, [(p.name, p.start_count, p.clock(), p.part("lender").held) for p in world.running]
 
     assert steps(5) == steps(5) != steps(6)
 
@@ -164,10 +164,10 @@
 
 def test_each_side_of_a_partition_holds_the_other_dead_until_it_heals():
     world = quiet()
-    world.net.part(["a", "b"])
+    world.net.partition(["a", "b"])
     dead = lambda: [sum(m.state is State.DEAD for m in p.known.values()) for p in world.running]  # noqa: E731
     assert world.until(lambda: dead() == [2, 2, 2, 2], 20)
-    world.net.part(["a", "c"])
+    world.net.partition(["a", "c"])
     known = world.procs["a"].known
     assert world.until(lambda: known["c"].is_live and not known["b"].is_live, 20)
     world.net.heal()
@@ -179,14 +179,14 @@
         topics = ("t",)
 
     world = quiet(Subscriber)
-    world.net.part(["a"])
-    world.do("a", lambda p: [Put("t", b"old"), Put("t", b"new")])
+    world.net.partition(["a"])
+    world.call_component("a", lambda p: [Put("t", b"old"), Put("t", b"new")])
     world.run(3)
     assert world.procs["b"].entry("a", "t") is None
     world.net.heal()
     assert world.until(lambda: all(p.entry("a", "t") for p in world.running), 20)
     assert ("a", b"new") in world.procs["b"].part("quiet").log
-    world.do("a", lambda p: [Put("t", b"")])
+    world.call_component("a", lambda p: [Put("t", b"")])
     assert world.until(lambda: not any(list(p.entries("t")) for p in world.running), 20)
 
 
@@ -200,13 +200,13 @@
         world.net.link("a", "b", link)
         log = world.procs["b"].part("quiet").log = []
         for number in range(100):
-            world.do("a", lambda p, n=number: [Post("b", bytes([n]))])
+            world.call_component("a", lambda p, n=number: [Post("b", bytes([n]))])
         world.run(1)
         assert minimum <= sum(len(row) == 3 for row in log) <= maximum
     world.net.link("a", "b", Link(jitter_ms=500))
     log = world.procs["b"].part("quiet").log = []
     for number in range(100):
-        world.do("a", lambda p, n=number: [Post("b", bytes([n]))])
+        world.call_component("a", lambda p, n=number: [Post("b", bytes([n]))])
     world.run(1)
     came = [row[2] for row in log if len(row) == 3]
     assert sorted(came) == [bytes([n]) for n in range(100)] != came
@@ -217,7 +217,7 @@
     before = world.procs["a"].clock()
     world.pause("a", 20.0)
     for number in range(5):
-        world.do("b", lambda p, n=number: [Post("a", bytes([n]))])
+        world.call_component("b", lambda p, n=number: [Post("a", bytes([n]))])
     world.run(19.0)
     log = world.procs["a"].part("quiet").log
     assert not [row for row in log if len(row) == 3] and world.procs["b"].known["a"].state is State.DEAD
@@ -228,14 +228,14 @@
 
 def test_a_trip_interrupts_between_two_effects():
     world = quiet()
-    world.trip("a", 1, "crash")
-    world.do("a", lambda p: [Store("k", b"1"), Store("k", b"2")])
-    assert not world.procs["a"].up and world.procs["a"].kept == {"quiet": {"k": b"1"}}
-    world.trip("b", 1, "pause", 5.0)
-    world.do("b", lambda p: [Store("k", b"1"), Store("k", b"2")])
-    assert world.procs["b"].kept == {"quiet": {"k": b"1"}}
+    world.fail_after("a", 1, "crash")
+    world.call_component("a", lambda p: [Store("k", b"1"), Store("k", b"2")])
+    assert not world.procs["a"].up and world.procs["a"].stored_records == {"quiet": {"k": b"1"}}
+    world.fail_after("b", 1, "pause", 5.0)
+    world.call_component("b", lambda p: [Store("k", b"1"), Store("k", b"2")])
+    assert world.procs["b"].stored_records == {"quiet": {"k": b"1"}}
     world.run(6.0)
-    assert world.procs["b"].kept == {"quiet": {"k": b"2"}}
+    assert world.procs["b"].stored_records == {"quiet": {"k": b"2"}}
 
 
 def test_disks_fill_up_and_are_lost_or_damaged():
@@ -246,9 +246,9 @@
             return super().on_start(now, view, stored)
 
     world = quiet(Careful)
-    world.do("a", lambda p: [Store("k", b"good")])
+    world.call_component("a", lambda p: [Store("k", b"good")])
     world.disk("a", "full")
-    world.do("a", lambda p: [LogLine("before"), Store("k", b"bad"), LogLine("behind")])
+    world.call_component("a", lambda p: [LogLine("before"), Store("k", b"bad"), LogLine("behind")])
     assert world.procs["a"].notes == ["before", "no room for k"]
     for disk, stored in (("kept", {"k": b"good"}), ("damaged", None), ("lost", {})):
         world.crash("a")
@@ -271,7 +271,7 @@
 
     world = quiet(Quiet, Authority, Follower)
     records = [Agreed(n, 1, kind, "k", b"") for n, kind in ((1, "split"), (2, "purge"), (3, "split"))]
-    world.do("a", lambda p: [Notify(record) for record in records], "authority")
+    world.call_component("a", lambda p: [Notify(record) for record in records], "authority")
     assert world.procs["a"].notes == ["split 1", "split 3"] and len(world.procs["a"].facts) == 3
     assert not world.procs["b"].notes
 
@@ -285,7 +285,7 @@
         def on_tick(self, now):
             return [effect]
 
-    with pytest.raises(Broken, match=text):
+    with pytest.raises(SimulationError, match=text):
         quiet(Wrong).run(2)
 
 
@@ -297,13 +297,13 @@
         "leave",
         "pause",
         "disk",
-        "misjudge",
-        "trip",
-        "net.part",
+        "force_state",
+        "fail_after",
+        "net.partition",
         "net.cut",
         "net.link",
         "net.heal",
-        "calm",
+        "end_faults",
     }
     assert schedule(3, NAMES, 60.0) == schedule(3, NAMES, 60.0) != schedule(4, NAMES, 60.0)
 
@@ -340,7 +340,7 @@
 
 
 def test_with_peers_a_defect_is_detected():
-    with pytest.raises(Broken):
+    with pytest.raises(SimulationError):
         for seed in range(30):
             play_peered(CountsFromReceipt, seed)
 
@@ -352,7 +352,7 @@
     def log(seed):
         world = PeeredCluster(seed, NAMES, lambda name, rng: [Subscriber(rng)], link=Link(delay_ms=5))
         assert world.until(lambda: sum(len(p.members()) for p in world.running) == 16, 20)
-        world.do("a", lambda p: [Put("t", b"told"), Post("b", b"sent"), Post("a", b"to myself")])
+        world.call_component("a", lambda p: [Put("t", b"told"), Post("b", b"sent"), Post("a", b"to myself")])
         assert world.until(lambda: all(p.entry("a", "t") for p in world.running), 20)
         world.leave("c")
         assert world.until(lambda: all(p.members()["c"].state is State.LEFT for p in world.running), 20)
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -27,9 +27,9 @@
 from aspenrill.net.connecting import Refused
 from aspenrill.net.hub import Closed, Hub, TimedOut
 from standins.clients import ThriftClient
-from standins.discovery import LIVE, Feed, host
-from standins.scene import play
-from standins.world import Act, HttpEngine
+from standins.discovery import LIVE, BulletinServer, engine_entry
+from standins.scenario import run_scenario
+from standins.world import EngineBehaviour, HttpEngine
 
 FRONTS = 20  # front ends
 RESTARTED = range(0, 20, 3)  # front ends that are killed and restarted
@@ -59,9 +59,9 @@
     def __init__(self, folder: Path) -> None:
         self.lines: list[str] = []
         self.hub, self.folder, self.hosts = Hub(self.lines.append), folder, []
-        self.feed = Feed(self.hub, [])
+        self.feed = BulletinServer(self.hub, [])
         self.warm, self.cold = (HttpEngine(self.hub, f"s-{number:08x}") for number in (1, 2))
-        self.warm.act = self.cold.act = lambda statement: Act(after=WORK)
+        self.warm.behaviour = self.cold.behaviour = lambda statement: EngineBehaviour(after=WORK)
         self.ports = [socket.socket() for _ in range(FRONTS)]  # do not listen; they reserve the ports
         for sock in self.ports:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -69,11 +69,11 @@
         self.processes: dict[int, subprocess.Popen] = {}
         self.served, self.unexpected, self.finished = [0] * FRONTS, [], False
 
-    def tell(self, engine: HttpEngine, born_ms: int) -> None:
+    def announce(self, engine: HttpEngine, born_ms: int) -> None:
         """Announce an engine by the bulletin and in the configuration of processes started later."""
         port = engine.listener.address[1]
-        self.hosts.append(host(engine.name, port, born_ms))
-        self.feed.tell(engine.name, port, LIVE, born_ms)
+        self.hosts.append(engine_entry(engine.name, port, born_ms))
+        self.feed.publish(engine.name, port, LIVE, born_ms)
 
     def start(self, me: int) -> None:
         """Write the configuration of a front end and start its process."""
@@ -103,7 +103,7 @@
             process.kill()
             process.wait()
 
-    def ask(self, me: int) -> None:
+    def request(self, me: int) -> None:
         """Send one request after another to this front end, across restarts of its process."""
         at = SimpleNamespace(hub=self.hub, address=self.ports[me].getsockname())
         self.hub.sleep(REQUEST_PAUSE * me / FRONTS)
@@ -111,7 +111,7 @@
             try:
                 client = ThriftClient(at, "lookup", 5.0)
                 while not self.finished:
-                    reply = client.ask("select 1", TIMEOUT, req=f"{time.monotonic_ns():016x}").kind
+                    reply = client.request("select 1", TIMEOUT, req=f"{time.monotonic_ns():016x}").kind
                     self.served[me] += reply == "served"
                     self.unexpected += [reply] * (reply not in ("served", "refused"))
                     self.hub.sleep(REQUEST_PAUSE)
@@ -140,13 +140,13 @@
 
 
 def test_all_processes_together_send_a_cold_engine_no_more_than_its_limit(cluster):
-    def scene() -> None:
-        cluster.tell(cluster.warm, 0)
+    def scenario() -> None:
+        cluster.announce(cluster.warm, 0)
         for me in range(FRONTS):
             cluster.start(me)
-            cluster.hub.spawn(cluster.ask, me)
+            cluster.hub.spawn(cluster.request, me)
         cluster.until(lambda: all(cluster.served))  # all have learned the cost of a request
-        cluster.tell(cluster.cold, int(time.time() * 1000))
+        cluster.announce(cluster.cold, int(time.time() * 1000))
         born_at = time.monotonic()
         cluster.until(lambda: time.monotonic() > born_at + FALL_WINDOW / 2)
         for me in RESTARTED:
@@ -164,7 +164,7 @@
         cluster.finished = True
 
     ages, counts = [], []
-    play(cluster.hub, scene)
+    run_scenario(cluster.hub, scenario)
     for end in ages:
         allowed = FALL_MULTIPLE * (START_SHARE + (1 - START_SHARE) * end / COLD_FOR) * FALL_WINDOW / WORK
         counts.append(
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -14,8 +14,8 @@
 from aspenrill.net.connecting import Refused
 from aspenrill.net.hub import Closed, TimedOut
 from standins.clients import ThriftClient
-from standins.scene import play
-from standins.world import ROWS, Act
+from standins.scenario import run_scenario
+from standins.world import ROWS, EngineBehaviour
 
 RATE = "0.05"  # share of the calls that fail
 CLIENTS = 6  # connections
@@ -38,7 +38,7 @@
         while number < REQUESTS:
             statement = f"q {me} {number}"
             try:
-                reply = client.ask(statement, MAX_WAIT_S, req=f"{me:08x}{number:07x}{again:x}")
+                reply = client.request(statement, MAX_WAIT_S, req=f"{me:08x}{number:07x}{again:x}")
             except (
                 Closed
             ) as why:  # retry as the protocol says: it was sent while an idle connection was closed
@@ -56,7 +56,7 @@
             number, again = number + 1, False
         running[0] -= 1
 
-    def scene() -> None:
+    def scenario() -> None:
         for me in range(CLIENTS):
             hub.spawn(send_requests, failing.client("lookup"), me)
         end = time.monotonic() + MAX_WAIT_S
@@ -69,9 +69,9 @@
             hub.sleep(0.05)
 
     for engine in failing.engines:
-        engine.act = lambda statement: Act(after=0.01)
+        engine.behaviour = lambda statement: EngineBehaviour(after=0.01)
     failing.start(SETTINGS)
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert not lost, (lost, failing.log()[-3000:])
     assert len(crossed) <= failing.log().count('reason="room for another'), (crossed, failing.log()[-3000:])
     assert failing.process.returncode == 0 and "error:" not in failing.log(), failing.log()[-3000:]
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -26,7 +26,7 @@
 from aspenrill.reader import Reader
 from standins.clients import TdsClient
 from standins.fleet import Fleet, Process
-from standins.scene import play
+from standins.scenario import run_scenario
 from standins.world import TdsEngine
 
 LEASE = 1.0
@@ -73,9 +73,9 @@
     """The coordinators and their epochs, according to their logs."""
     found = {}
     for process in fleet:
-        text = process.text()
+        text = process.log_text()
         epochs = ELECTED.findall(text)
-        if process.running and epochs and text.rfind("authority coordinates") > text.rfind("authority rests"):
+        if process.popen and epochs and text.rfind("authority coordinates") > text.rfind("authority rests"):
             found[process.label] = int(epochs[-1])
     return found
 
@@ -86,21 +86,23 @@
 
     def one() -> bool:
         now = coordinators(fleet)
-        return len(now) == 1 and any(f"authority settled {now[p]}" in fleet[p].text() for p in now)
+        return len(now) == 1 and any(f"authority settled {now[p]}" in fleet[p].log_text() for p in now)
 
     fleet.until(one, "one process coordinates and has settled")
-    fleet.until(lambda: all("a voter from now on" in fleet[name].text() for name in "abc"), "all voters vote")
+    fleet.until(
+        lambda: all("a voter from now on" in fleet[name].log_text() for name in "abc"), "all voters vote"
+    )
     return next(iter(coordinators(fleet)))
 
 
 def order(fleet: Fleet, at: Process, name: str) -> None:
     (fleet.folder / f"{at.label}.purges" / f"{name}.toml").write_text('what = "group"\ngroup = 17\n')
-    at.hangup()
+    at.reload()
 
 
 def complete(fleet: Fleet, at: Process, count: int = 1) -> float:
     return fleet.until(
-        lambda: len(re.findall(rf"^purge {at.label}/\S+ complete$", at.text(), re.M)) >= count,
+        lambda: len(re.findall(rf"^purge {at.label}/\S+ complete$", at.log_text(), re.M)) >= count,
         "the purge is complete",
     )
 
@@ -127,7 +129,7 @@
     assert second in set("abc") - {first} and later > epoch
     order(fleet, fleet["e"], "two")
     complete(fleet, fleet["e"], 2)
-    assert "error" not in fleet["e"].text() + fleet[second].text()
+    assert "error" not in fleet["e"].log_text() + fleet[second].log_text()
 
 
 def test_a_purge_completes_with_a_killed_relay_and_a_process_paused_beyond_its_lease(fleet):
@@ -138,7 +140,7 @@
     fleet[relay].kill()  # it may relay for its site, its building, or both
     order(fleet, fleet["e"], "one")
     complete(fleet, fleet["e"])
-    fleet[paused].go_on()
+    fleet[paused].resume()
     serial = state(fleet, "e")["serial"]
     fleet.until(
         lambda: state(fleet, paused)["serial"] >= serial and serves(fleet, paused),
@@ -172,12 +174,12 @@
 
 
 def share(process: Process) -> float:
-    shares = SHARE_LINE.findall(process.text())
+    shares = SHARE_LINE.findall(process.log_text())
     return float(shares[-1]) if shares else 0.0
 
 
 def total(fleet: Fleet) -> float:
-    return sum(share(process) for process in fleet if process.running)
+    return sum(share(process) for process in fleet if process.popen)
 
 
 def test_a_full_disk_ends_leadership_and_a_damaged_file_is_rejected(fleet):
@@ -187,17 +189,17 @@
     resource.prlimit(fleet[first].pid, resource.RLIMIT_FSIZE, (full, full))
     order(fleet, fleet["e"], "one")  # the coordinator cannot write its record
     fleet.until(
-        lambda: "fleet-disk" in fleet[first].text() and "authority rests" in fleet[first].text(),
+        lambda: "fleet-disk" in fleet[first].log_text() and "authority rests" in fleet[first].log_text(),
         "it no longer coordinates",
     )
     complete(fleet, fleet["e"])
-    assert coordinators(fleet).keys() < set("abc") - {first} and fleet[first].running.poll() is None
-    assert fleet["d"].end() == 0
+    assert coordinators(fleet).keys() < set("abc") - {first} and fleet[first].popen.poll() is None
+    assert fleet["d"].terminate() == 0
     file = fleet["d"].folder / "state" / "fleet.sqlite3"
     file.write_bytes(b"\x55" * file.stat().st_size)
     fleet["d"].start()
-    assert fleet["d"].ended() == 2
-    assert fleet["d"].text().startswith(f"aspenrill: fleet-state: {file}")
+    assert fleet["d"].wait_exit() == 2
+    assert fleet["d"].log_text().startswith(f"aspenrill: fleet-state: {file}")
 
 
 def test_a_sidecar_serves_cached_answers_until_a_purge_or_a_load(tmp_path):
@@ -205,7 +207,7 @@
     engine = TdsEngine(hub, "engine-1")
     text = "select * from sales_17.orders"
 
-    def scene() -> None:
+    def scenario() -> None:
         with Fleet(tmp_path, 1, hub.sleep) as fleet:
             for label in "abc":
                 add(fleet, label, "s/b/h")
@@ -228,7 +230,7 @@
                 return len(engine.began) > before
 
             def served(statement: str, client: TdsClient) -> bool:
-                kind = client.ask(statement).kind  # refused if the machine paused: sent again
+                kind = client.request(statement).kind  # refused if the machine paused: sent again
                 assert kind in ("served", "refused")
                 return kind == "served"
 
@@ -246,9 +248,9 @@
             assert reached(text), "the load did not purge the answer"
             lookup.close()
             load.close()
-            assert not any("error" in p.text() or "Traceback" in p.text() for p in fleet)
+            assert not any("error" in p.log_text() or "Traceback" in p.log_text() for p in fleet)
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 # ---- the configuration --------------------------------------------------------------------------------
--- a/tests/test_fleet_peers.py
+++ b/tests/test_fleet_peers.py
@@ -57,14 +57,14 @@
         sim.cut(sides)
         assert sim.until(
             lambda: all(
-                sim.state(a, b) is (State.DEAD if sim.apart(a, b) else State.ALIVE)
+                sim.state(a, b) is (State.DEAD if sim.separated(a, b) else State.ALIVE)
                 for a in names
                 for b in names
             ),
             HEALING_TIME,
         ), sides
         sim.run(5.0)
-        assert not [d for d in sim.deaths(since) if not sim.apart(*d[1:])]
+        assert not [d for d in sim.deaths(since) if not sim.separated(*d[1:])]
 
 
 def a_paused_process_declares_nobody_dead(make=PeerNode) -> None:
@@ -89,10 +89,10 @@
     for number in range(20):
         for name in ("n0", "n5"):
             sim.nodes[name].put(sim.now, "load", b"%d" % number)
-            sim.touch(name)
+            sim.flush(name)
         sim.run(0.2)
     sim.run(10.0)
-    for label, calls in sim.calls.items():
+    for label, calls in sim.events.items():
         last: dict[str, tuple[int, int]] = {}
         for _, event in calls:
             if isinstance(event, Entry):
@@ -107,10 +107,10 @@
     sim.repeat = 0.5
     for number in range(50):
         assert sim.nodes["n0"].post(sim.now, "n1", "part", b"%d" % number)
-        sim.touch("n0")
+        sim.flush("n0")
         sim.run(0.02)
     sim.run(1.0)
-    bodies = Counter(event.body for _, event in sim.calls["n1"] if isinstance(event, MessageReceived))
+    bodies = Counter(event.body for _, event in sim.events["n1"] if isinstance(event, MessageReceived))
     assert len(bodies) == 50 and set(bodies.values()) == {1}
 
 
@@ -119,7 +119,7 @@
     elder = sim.nodes["n2"].table.me.boot_id
     sim.start("n2", ("10.0.0.1", 5555), "twin")
     sim.run(8.0)
-    conflicts = [event.trouble for event in sim.troubles("twin")]
+    conflicts = [event.trouble for event in sim.name_conflicts("twin")]
     assert sim.nodes["twin"].names.fenced and not sim.nodes["n2"].names.fenced
     assert len(conflicts) == 1 and "10.0.0.1:1002" in conflicts[0].line() and "n2" in str(conflicts[0])
     assert all(
@@ -264,11 +264,11 @@
 
 def test_a_member_that_receives_nothing_is_declared_dead_and_returns():
     sim = fleet(6)
-    sim.deaf.add("n3")
+    sim.unreachable.add("n3")
     sim.run(15.0)
     assert {sim.state(name, "n3") for name in sim.nodes if name != "n3"} <= {State.DEAD, State.SUSPECT}
     assert {who for _, by, who in sim.deaths() if by != "n3"} == {"n3"}
-    sim.deaf.clear()
+    sim.unreachable.clear()
     assert sim.until(sim.all_alive, HEALING_TIME)
 
 
@@ -276,7 +276,7 @@
 def test_a_restart_fences_the_earlier_run(port):
     sim = fleet(5)
     sim.nodes["n2"].put(sim.now, "load", b"former")
-    sim.touch("n2")
+    sim.flush("n2")
     sim.run(2.0)
     earlier = sim.kill("n2")
     sim.start("n2", ("10.0.0.1", port))
@@ -287,7 +287,7 @@
     for address, data in earlier.take_datagrams():
         sim._deliver("n0", address, data)
     assert sim.nodes["n0"].refused["former life"] == 1
-    assert not [event for _, event in sim.calls["n0"] if isinstance(event, MessageReceived)]
+    assert not [event for _, event in sim.events["n0"] if isinstance(event, MessageReceived)]
 
 
 def test_a_restart_with_a_clock_set_back_can_rejoin():
@@ -304,10 +304,10 @@
 def test_a_member_that_left_is_known_as_left_and_expires():
     sim = fleet(5)
     sim.nodes["n1"].put(sim.now, "load", b"x")
-    sim.touch("n1")
+    sim.flush("n1")
     sim.run(1.0)
     sim.nodes["n1"].leave(sim.now)
-    sim.touch("n1")
+    sim.flush("n1")
     sim.run(0.5)
     sim.kill("n1")
     assert {sim.state(name, "n1") for name in sim.nodes} == {State.LEFT} and not sim.deaths()
@@ -371,8 +371,8 @@
     sim.run(25.0)
     assert sim.until(sim.all_alive, HEALING_TIME)
     dead = [n for n in stopped if any(sim.state(name, n) is State.ALIVE for name in sim.nodes)]
-    assert not dead and not any(sim.troubles(name) for name in sim.nodes)
-    for calls in sim.calls.values():  # incarnations never decrease
+    assert not dead and not any(sim.name_conflicts(name) for name in sim.nodes)
+    for calls in sim.events.values():  # incarnations never decrease
         last: dict[str, int] = {}
         for _, event in calls:
             if isinstance(event, Member):
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -15,7 +15,7 @@
 from aspenrill.net.hub import Closed, TimedOut
 from aspenrill.wire import tds, thrift
 from standins.clients import Reply
-from standins.world import ROWS, SETTINGS, Act, World
+from standins.world import ROWS, SETTINGS, EngineBehaviour, World
 
 LONG = [(str(i), "y" * 200, "end") for i in range(2000)]
 
@@ -42,9 +42,9 @@
 
     def play():
         client = world.client("booking")
-        assert client.ask("insert 1", **changed).kind == "failed"
+        assert client.request("insert 1", **changed).kind == "failed"
         assert not world.engines[0].began
-        assert client.ask("insert 1").kind == "served"
+        assert client.request("insert 1").kind == "served"
 
     world.run(play)
 
@@ -53,7 +53,7 @@
     world = World("thrift", 1)
 
     def play():
-        world.engines[0].act = lambda s: Act(after=0.3)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=0.3)
         client = world.client()
         client.send("select 1", req="0123456789abcdef")
         client.send("select 1", req="0123456789abcdef")
@@ -86,7 +86,7 @@
         else:
             reply = thrift.read_message(conn.read(int.from_bytes(conn.read(4, until), "big"), until))
             assert (reply.kind, reply.args[2]) == (thrift.EXCEPTION, kind)
-        assert world.client().ask("select 1").kind == "served" and len(world.engines[0].began) == 1
+        assert world.client().request("select 1").kind == "served" and len(world.engines[0].began) == 1
 
     world.run(play)
 
@@ -95,7 +95,7 @@
     world = World("thrift", 1, replace(SETTINGS, cores_by_kind=(64,)))
 
     def play():
-        world.engines[0].act = lambda s: Act(after=0.4 if s.endswith("0") else 0)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=0.4 if s.endswith("0") else 0)
         client = world.client()
         for i in range(32):
             client.send(f"select {i}")
@@ -123,7 +123,7 @@
             busy.sock.sendall(bad * 20000)  # what the kernel accepts is available at once
         except TimeoutError:
             pass
-        assert client.ask("select 1").kind == "served" and count[0] < 1000
+        assert client.request("select 1").kind == "served" and count[0] < 1000
         world.until(lambda: count[0] > 3000)
 
     world.run(play)
@@ -137,8 +137,8 @@
         client = world.client()
         with pytest.raises(Closed):
             for _ in range(100):
-                assert client.ask("select 1", kind="nope").kind == "failed"
-        assert world.client().ask("select 1").kind == "served" and len(world.engines[0].began) == 1
+                assert client.request("select 1", kind="nope").kind == "failed"
+        assert world.client().request("select 1").kind == "served" and len(world.engines[0].began) == 1
 
     world.run(play)
 
@@ -170,10 +170,10 @@
         first, second = world.client(), world.client()
         service = world.node.fronts[0][0]
         classes, service.reader.class_of = service.reader.class_of, None
-        assert first.ask("select 1").kind == "broken"
+        assert first.request("select 1").kind == "broken"
         service.reader.class_of = classes
-        assert first.ask("select 2").kind == "served"
-        assert second.ask("select 1").kind == "served"
+        assert first.request("select 2").kind == "served"
+        assert second.request("select 1").kind == "served"
         assert any("AttributeError" in text for text in world.logged)
         world.logged.clear()
 
@@ -193,8 +193,8 @@
             return handle(now, event)
 
         world.node.owner.gateway.handle = broken
-        assert world.client("once").ask("select 1").kind == "failed"
-        assert world.client("lookup").ask("select 1").kind == "served"
+        assert world.client("once").request("select 1").kind == "failed"
+        assert world.client("lookup").request("select 1").kind == "served"
         assert any("RuntimeError" in text for text in world.logged)
         world.logged.clear()
 
@@ -209,7 +209,7 @@
     world = World("tds", 1)
 
     def play():
-        world.engines[0].act = lambda s: Act(rows=LONG if "long" in s else ROWS)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(rows=LONG if "long" in s else ROWS)
         client = world.client()
         for conn in (client.conn, *world.node.fronts[0][1].connections):  # small buffers
             conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -221,7 +221,7 @@
         assert client.read(5).kind == "cancelled"
         with pytest.raises(TimedOut):
             client.conn.fill(time.monotonic() + 0.3)
-        assert client.ask("select 1") == Reply("served", ROWS)
+        assert client.request("select 1") == Reply("served", ROWS)
 
     world.run(play)
 
@@ -231,10 +231,10 @@
 
     def play():
         client = world.client()
-        assert client.ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
         client.cancel()
         assert client.read(5).kind == "cancelled"
-        assert client.ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
 
     world.run(play)
 
@@ -265,7 +265,7 @@
         client.conn.write(tds.packets(kind, body), time.monotonic() + 5)
         assert client.read(5).kind == "broken"
         assert not world.engines[0].began
-        assert client.ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
 
     world.run(play)
 
@@ -324,7 +324,9 @@
     )
 
     def play():
-        world.engines[0].act = lambda s: Act() if "sales_1" in s else Act(rows=[])
+        world.engines[0].behaviour = lambda s: (
+            EngineBehaviour() if "sales_1" in s else EngineBehaviour(rows=[])
+        )
         child = subprocess.Popen(
             [sys.executable, "-c", code, str(world.address[1])],
             stdout=subprocess.PIPE,
--- a/tests/test_groups_counts.py
+++ b/tests/test_groups_counts.py
@@ -13,7 +13,7 @@
 from aspenrill.fleet.groups.hours import CountRules, HourCounters
 from aspenrill.fleet.groups.records import SEAL, Cell, CounterAck, CounterUpdate, pack, read
 from standins.faults import schedule
-from standins.groups import FIRST, Scene
+from standins.groups import FIRST_HOUR, GroupsSimulation
 
 H = 1000
 cells = st.lists(
@@ -173,45 +173,49 @@
 
 
 def test_malformed_messages_raise_and_change_nothing():
-    scene, rng = Scene(1, 3), random.Random(1)
-    scene.world.run(4.0)
-    groups = scene.world.procs["p00"].part("groups")
+    simulation, rng = GroupsSimulation(1, 3), random.Random(1)
+    simulation.world.run(4.0)
+    groups = simulation.world.procs["p00"].part("groups")
     before = totals(groups.counts)
-    good = pack(CounterUpdate(1, (Cell("x", 1, 7, FIRST, 1, 1, 1),)))
+    good = pack(CounterUpdate(1, (Cell("x", 1, 7, FIRST_HOUR, 1, 1, 1),)))
     for _ in range(2000):
         body = bytearray(good)
         body[rng.randrange(len(body))] = rng.randrange(256)
-        groups.on_message(scene.world.procs["p00"].clock(), "p01", 1, bytes(body[: rng.randrange(len(body))]))
-    for cell in ((-2, FIRST, 1), (7, -1, 1), (7, FIRST, -1), (7, FIRST, 2**60), (7, "x", 1)):
+        groups.on_message(
+            simulation.world.procs["p00"].clock(), "p01", 1, bytes(body[: rng.randrange(len(body))])
+        )
+    for cell in ((-2, FIRST_HOUR, 1), (7, -1, 1), (7, FIRST_HOUR, -1), (7, FIRST_HOUR, 2**60), (7, "x", 1)):
         body = pack([1, 1, [["x", 1, cell[0], cell[1], 1, cell[2], 1]]])
         assert groups.on_message(0.0, "p01", 1, body) == []
     assert totals(groups.counts) == before
     assert read(groups.on_message(0.0, "p01", 1, good)[0].body, CounterAck) == CounterAck(1)
-    assert groups.on_message(0.0, "p01", 1, b"") == [] and groups.counts.hours[FIRST].origins["x", 1]
+    assert groups.on_message(0.0, "p01", 1, b"") == [] and groups.counts.hours[FIRST_HOUR].origins["x", 1]
 
 
 def check_collectors(seed: int) -> None:
     """Partitions, cuts and pauses: known hours of a collector hold exactly what was written."""
-    scene = Scene(seed, 6)
+    simulation = GroupsSimulation(seed, 6)
 
     def exact(world):
-        for name in scene.voters if world.steps % 40 == 0 and world.now > 5.0 else ():
+        for name in simulation.voters if world.steps % 40 == 0 and world.now > 5.0 else ():
             counts = world.procs[name].part("groups").counts
-            for hour in [h for h in list(counts.hours)[-4:] if h > FIRST and counts.is_known(h)]:
+            for hour in [h for h in list(counts.hours)[-4:] if h > FIRST_HOUR and counts.is_known(h)]:
                 counted = counts.hours[hour].totals().get(17, module.ZERO)[1]
-                assert counted == scene.written.get((hour, 17), 0), hour
+                assert counted == simulation.written.get((hour, 17), 0), hour
 
-    scene.world.checks.append(exact)
-    scene.world.play(schedule(seed, scene.world.names, 100.0, ("part", "cut", "weather", "pause"), gap=3.0))
-    scene.world.run(160.0)
+    simulation.world.checks.append(exact)
+    simulation.world.play(
+        schedule(seed, simulation.world.names, 100.0, ("partition", "cut", "link", "pause"), gap=3.0)
+    )
+    simulation.world.run(160.0)
     known_hours = 0
-    for name in scene.voters:
-        counts = scene.world.procs[name].part("groups").counts
-        for hour in range(FIRST + 1, FIRST + 14):
+    for name in simulation.voters:
+        counts = simulation.world.procs[name].part("groups").counts
+        for hour in range(FIRST_HOUR + 1, FIRST_HOUR + 14):
             if counts.is_known(hour):
                 known_hours += 1
-                for group in scene.groups:
-                    written = scene.written.get((hour, group), 0)
+                for group in simulation.groups:
+                    written = simulation.written.get((hour, group), 0)
                     assert counts.hours[hour].totals().get(group, module.ZERO)[1] == written, (name, hour)
     assert known_hours > 50, known_hours
 
--- a/tests/test_groups_splits.py
+++ b/tests/test_groups_splits.py
@@ -25,27 +25,27 @@
 from aspenrill.fleet.groups.splits import Facts, SplitNews, SplitRules, Splits
 from aspenrill.fleet.interface import Agreed
 from aspenrill.state import Fleet
-from standins.cluster import Broken
+from standins.cluster import SimulationError
 from standins.faults import schedule
-from standins.groups import ENGINES, Ledger, Scene
+from standins.groups import ENGINES, AgreedLog, GroupsSimulation
 
 
-def storm(seed: int, count: int, kind: type[Groups] = Groups, seconds: float = 50.0) -> Scene:
+def storm(seed: int, count: int, kind: type[Groups] = Groups, seconds: float = 50.0) -> GroupsSimulation:
     """Random faults, storms and cancelled splits, then none until all splits are finished."""
-    rng, scene = random.Random(f"{seed}/storm"), Scene(seed, count, kind)
-    scene.world.play(schedule(seed, scene.world.names, seconds, gap=0.7))
+    rng, simulation = random.Random(f"{seed}/storm"), GroupsSimulation(seed, count, kind)
+    simulation.world.play(schedule(seed, simulation.world.names, seconds, gap=0.7))
     for _ in range(5):
-        scene.storm, scene.outage = rng.random() < 0.2, rng.random() < 0.1
-        for split in list(scene.ledger.splits):
+        simulation.storm, simulation.outage = rng.random() < 0.2, rng.random() < 0.1
+        for split in list(simulation.agreed_log.splits):
             if rng.random() < 0.2:
-                scene.world.do(
-                    rng.choice(scene.world.names),
+                simulation.world.call_component(
+                    rng.choice(simulation.world.names),
                     lambda proc, split=split: proc.part("groups").call_off(proc.clock(), split),
                     "groups",
                 )
-        scene.world.run(seconds / 5)
-    scene.finish()
-    return scene
+        simulation.world.run(seconds / 5)
+    simulation.finish()
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -60,31 +60,33 @@
 @pytest.mark.parametrize("what", ["propose", "append"])
 def test_a_coordinator_killed_at_each_step(what):
     for number in range(1, 21, 2 if what == "propose" else 3):
-        scene = Scene(number, 3)
-        scene.ledger.kill = what, number
-        scene.finish()
-        assert scene.ledger.done[what] >= number and scene.ledger.epoch >= 2
+        simulation = GroupsSimulation(number, 3)
+        simulation.agreed_log.crash_at = what, number
+        simulation.finish()
+        assert simulation.agreed_log.step_counts[what] >= number and simulation.agreed_log.epoch >= 2
 
 
 def test_a_minority_plans_nothing_and_keeps_its_map():
-    scene = Scene(5, 5)
-    scene.world.run(5.0)
-    held = {name: scene.world.procs[name].part("groups").splits.map.version for name in ("p00", "p01")}
-    scene.world.net.part(["p00", "p01"], ["p02", "p03", "p04"])
-    scene.world.run(90.0)
-    minority = [scene.world.procs[name].part("groups") for name in held]
-    assert scene.ledger.version == 4 and [g.splits.map.version for g in minority] == list(held.values())
+    simulation = GroupsSimulation(5, 5)
+    simulation.world.run(5.0)
+    held = {name: simulation.world.procs[name].part("groups").splits.map.version for name in ("p00", "p01")}
+    simulation.world.net.partition(["p00", "p01"], ["p02", "p03", "p04"])
+    simulation.world.run(90.0)
+    minority = [simulation.world.procs[name].part("groups") for name in held]
+    assert simulation.agreed_log.version == 4 and [g.splits.map.version for g in minority] == list(
+        held.values()
+    )
     assert not any(g.splits.may_act(0.0) or g.splits.pending for g in minority)
-    scene.world.net.heal()
-    scene.finish()
+    simulation.world.net.heal()
+    simulation.finish()
 
 
 def test_no_step_in_storm_or_outage_or_without_owner_updates():
     for field in ("storm", "outage"):
-        scene = Scene(6, 3)
-        setattr(scene, field, True)
-        scene.world.run(60.0)
-        assert not scene.ledger.log
+        simulation = GroupsSimulation(6, 3)
+        setattr(simulation, field, True)
+        simulation.world.run(60.0)
+        assert not simulation.agreed_log.log
     splits = Splits(SplitRules(), None, Router())
     splits.update_owner(0.0, Facts(False, False, ENGINES))
     assert splits.is_calm(30.0) and not splits.is_calm(31.0) and not splits.is_calm(-1.0)
@@ -191,7 +193,7 @@
     kind = defect
     if issubclass(defect, Splits):
         kind = type(defect.__name__, (WithSplitsKind,), {"splits_kind": defect})
-    with pytest.raises((Broken, AssertionError)):
+    with pytest.raises((SimulationError, AssertionError)):
         for seed in range(20):
             storm(seed, 5, kind, 40.0)
 
@@ -204,7 +206,7 @@
 
     def __init__(self):
         super().__init__()
-        self.ledger, self.now, self.hour, self.waiting = Ledger(random.Random(1), 2), 0.0, 10, []
+        self.agreed_log, self.now, self.hour, self.waiting = AgreedLog(random.Random(1), 2), 0.0, 10, []
         self.coordinator, self.epoch_, self.ready = 0, 1, True
         self.nodes = [self.new_node(n) for n in range(2)]
         self.delivered = [0, 0]
@@ -217,7 +219,9 @@
                 return machine.epoch_ if machine.coordinator == number else None
 
             def settled(self, now):
-                return machine.coordinator == number and machine.delivered[number] == len(machine.ledger.log)
+                return machine.coordinator == number and machine.delivered[number] == len(
+                    machine.agreed_log.log
+                )
 
             def propose(self, now, kind, key, body):
                 assert machine.coordinator == number
@@ -261,22 +265,22 @@
     @precondition(lambda self: self.waiting)
     @rule()
     def agree(self):
-        self.ledger.append(*self.waiting.pop(0))
+        self.agreed_log.append(*self.waiting.pop(0))
 
     @rule(late=st.booleans())
     def deliver(self, late):
         for number, node in enumerate(self.nodes):
-            new = self.ledger.log[self.delivered[number] :]
+            new = self.agreed_log.log[self.delivered[number] :]
             last = {(r.kind, r.key): r.number for r in new}
             for record in new:
                 if not late or last[record.kind, record.key] == record.number:
                     node.on_agreed(self.now, record)
-            self.delivered[number] = len(self.ledger.log)
+            self.delivered[number] = len(self.agreed_log.log)
 
     @rule(kept=st.integers(0, 3), crash=st.booleans())
     def take_over(self, kept, crash):
         for item in self.waiting[:kept]:
-            self.ledger.append(*item)
+            self.agreed_log.append(*item)
         self.waiting.clear()
         if crash:
             self.nodes[self.coordinator], self.delivered[self.coordinator] = (
@@ -288,8 +292,8 @@
     @invariant()
     def all_agreed(self):
         for node in self.nodes:
-            assert all(("split", s) in self.ledger.states for s in node.splits.values())
-            assert all(("map", s) in self.ledger.states for s in node.map.shapes.values())
+            assert all(("split", s) in self.agreed_log.states for s in node.splits.values())
+            assert all(("map", s) in self.agreed_log.states for s in node.map.shapes.values())
 
 
 def test_steps_under_any_order_of_events():
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -14,7 +14,7 @@
 from aspenrill.net.hub import Hub
 from aspenrill.wire import http1
 from standins.clients import Reply
-from standins.world import CLASSES, ROWS, SETTINGS, Act, World
+from standins.world import CLASSES, ROWS, SETTINGS, EngineBehaviour, World
 
 
 class Pools:
@@ -147,8 +147,8 @@
 
     def play():
         engine, count = world.engines[0], [0]
-        engine.act = lambda s: Act(rows=rows)
-        say = engine.say
+        engine.behaviour = lambda s: EngineBehaviour(rows=rows)
+        say = engine.respond
 
         def spoilt(conn, status, fields=None, body=b""):
             count[0] += bool(body)
@@ -161,8 +161,8 @@
             conn.write(spoil(written[0]), time.monotonic() + 5)
             world.hub.sleep(3)  # the connection stays open but is useless
 
-        engine.say = spoilt
-        assert world.client("once").ask("select 1") == Reply("served", rows)
+        engine.respond = spoilt
+        assert world.client("once").request("select 1") == Reply("served", rows)
         assert engine.statements == ["select 1"]
 
     world.run(play)
@@ -175,8 +175,8 @@
 
     def play():
         engine = world.engines[0]
-        engine.act = lambda s: Act(rows=MANY if s == "many" else [(s, s, s)])
-        say = engine.say
+        engine.behaviour = lambda s: EngineBehaviour(rows=MANY if s == "many" else [(s, s, s)])
+        say = engine.respond
 
         def twice(conn, status, fields=None, body=b""):
             written, write = [], conn.write
@@ -185,11 +185,11 @@
             conn.write = write
             conn.write(written[0] + (written[0] if more == b"again" else more), time.monotonic() + 5)
 
-        engine.say = twice
+        engine.respond = twice
         client = world.client()
-        assert client.ask("many") == Reply("served", MANY)
+        assert client.request("many") == Reply("served", MANY)
         for word in "abc":
-            assert client.ask(word) == Reply("served", [(word, word, word)])
+            assert client.request(word) == Reply("served", [(word, word, word)])
 
     world.run(play)
 
@@ -203,7 +203,7 @@
 
     def play():
         engine = world.engines[0]
-        engine.news = lambda conn, ident: world.hub.sleep(60)  # no response on the existing connection
+        engine.answer_poll = lambda conn, ident: world.hub.sleep(60)  # no response on the existing connection
         client = world.client("once", 20.0)
         client.send("select 1")
         world.until(lambda: engine.began)
@@ -216,7 +216,7 @@
         monkeypatch.setattr(pool, "connect", refuse)
         attempt, began = call.attempt, time.monotonic()
         if broke:
-            engine.down()
+            engine.shut_down()
         else:
             world.node.owner.engines.cancel(attempt)
         world.until(lambda: call.attempt is not attempt, 10.0)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,9 +9,9 @@
 
 from aspenrill.net.hub import Closed
 from standins.clients import ThriftClient
-from standins.world import SETTINGS, SPECS, Act, World
+from standins.world import SETTINGS, SPECS, EngineBehaviour, World
 
-HANGS = Act(after=60.0)
+HANGS = EngineBehaviour(after=60.0)
 
 
 def leave(world: World, play) -> float:
@@ -48,7 +48,7 @@
 def test_with_deadlines_of_a_tenth_of_a_second_it_exits_before_the_kill():
     # SIGKILL then follows 0.8 s after SIGTERM; it accepted requests for 1 s and exited after 1.3 s
     world = World("thrift", 1, settings(0.1))
-    world.engines[0].act = lambda statement: HANGS
+    world.engines[0].behaviour = lambda statement: HANGS
 
     def play(over):
         client = world.client("once", 0.5)
@@ -62,7 +62,7 @@
 def test_hanging_requests_are_answered_completely_before_the_close():
     world = World("thrift", 2)
     for engine in world.engines:
-        engine.act = lambda statement: HANGS
+        engine.behaviour = lambda statement: HANGS
 
     def play(over):
         clients = [world.client("once", 20.0) for _ in range(3)]
@@ -84,16 +84,18 @@
 
     def play(over):
         engine = world.engines[0]
-        engine.act = lambda statement: Act(after=1.2) if "long" in statement else Act()
+        engine.behaviour = lambda statement: (
+            EngineBehaviour(after=1.2) if "long" in statement else EngineBehaviour()
+        )
         idle, client = world.client(), world.client()
-        assert client.ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
         client.send("select long")
         world.until(lambda: "select long" in engine.statements)
         world.until(lambda: not world.node.owner.taking)
         client.send("select late")
         assert client.read(5).kind == "refused"  # at once, before the earlier request is answered
         assert client.read(5).kind == "served"
-        assert idle.ask("select later").kind == "refused"  # also on an idle connection
+        assert idle.request("select later").kind == "refused"  # also on an idle connection
         assert not over()
         assert_ended(idle)
         assert_ended(client)
--- a/tests/test_leaving_process.py
+++ b/tests/test_leaving_process.py
@@ -13,7 +13,7 @@
 
 from aspenrill.net.hub import Closed
 from standins.clients import ThriftClient
-from standins.scene import play
+from standins.scenario import run_scenario
 
 DEADLINE = 0.3  # seconds
 KILL_AFTER = 0.7  # seconds
@@ -36,12 +36,12 @@
     def send_requests(client: ThriftClient) -> None:
         try:
             while True:
-                kinds.append(client.ask("select 1", MAX_WAIT_S).kind)
+                kinds.append(client.request("select 1", MAX_WAIT_S).kind)
                 front.hub.sleep(0.02)
         except Closed:
             client.close()
 
-    def scene() -> None:
+    def scenario() -> None:
         front.hub.spawn(send_requests, front.client("lookup"))
         front.hub.sleep(0.2)
         front.process.send_signal(signal.SIGTERM)
@@ -52,6 +52,6 @@
             front.hub.sleep(0.002)
 
     front.start(SETTINGS)
-    play(front.hub, scene)
+    run_scenario(front.hub, scenario)
     assert front.process.returncode == 0, front.log()
     assert {"served", "refused"} >= set(kinds) and kinds[-1] == "refused", (kinds, front.log())
--- a/tests/test_lingering.py
+++ b/tests/test_lingering.py
@@ -12,7 +12,7 @@
 from aspenrill.net.conn import Connection
 from aspenrill.net.hub import READ, Closed, Signal, TimedOut
 from aspenrill.wire import tds, thrift
-from standins.world import ROWS, SETTINGS, Act, World
+from standins.world import ROWS, SETTINGS, EngineBehaviour, World
 
 BAD = {"thrift": b"\0\0\0\4GET ", "tds": tds.packets(tds.SQL_BATCH, tds.sql_batch("select 2"))}
 
@@ -29,7 +29,7 @@
     world = World(protocol, 1)
 
     def play():
-        world.engines[0].act = lambda s: Act(after=0.2)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=0.2)
         client = world.client()
         client.send("select 1")
         client.conn.write(BAD[protocol] * 2000, time.monotonic() + 10)
@@ -66,7 +66,7 @@
 
     def play():
         service, listener = world.node.fronts[0]
-        world.engines[0].act = lambda s: Act(rows=long)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(rows=long)
         client = world.client("usage-report")
         world.until(lambda: listener.connections)
         [conn] = listener.connections
@@ -110,7 +110,7 @@
             for _ in range(1 << 20):
                 client.conn.write(BAD["thrift"] * 1000, time.monotonic() + 10)
         world.until(lambda: not listener.connections)
-        assert world.client().ask("select 1").rows == ROWS
+        assert world.client().request("select 1").rows == ROWS
 
     world.run(play)
 
@@ -134,14 +134,14 @@
 
     def play():
         client, listener = world.client(), world.node.fronts[0][1]
-        assert client.ask("select 1").rows == ROWS
+        assert client.request("select 1").rows == ROWS
         [conn] = listener.connections
         send_during_close(world, client, conn)
         if how == "drained":
             listener.drain()
         else:
             listener.max_connections = 1
-            assert world.client().ask("select 1").rows == ROWS
+            assert world.client().request("select 1").rows == ROWS
         assert_ended(client)
         client.close()
         world.until(lambda: conn not in listener.connections)
@@ -157,7 +157,7 @@
 
     def play():
         listener = world.node.fronts[0][1]
-        world.engines[0].act = lambda s: Act(after=0.2)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=0.2)
         active, idle = world.client(), world.client()
         active.send("select 1")
         world.until(lambda: world.engines[0].began)
@@ -192,7 +192,7 @@
 
     def play():
         owner, client = world.node.owner, world.client()
-        world.engines[0].act = lambda s: Act(after=5)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=5)
         client.send("select 1")
         world.until(lambda: world.engines[0].began)
         [conn] = world.node.fronts[0][1].connections
@@ -240,7 +240,7 @@
         listener.max_connections = 16
         for _ in range(50):
             clients.append(world.client())  # sends one request and stays, even after the server closes
-            assert clients[-1].ask("select 1").rows == ROWS
+            assert clients[-1].request("select 1").rows == ROWS
             assert len(listener.connections) <= 16
         for client in clients[:20]:
             assert_ended(client)
@@ -271,8 +271,8 @@
     def play():
         listener = world.node.fronts[0][1]
         active, idle = world.client(), world.client()
-        assert idle.ask("select 0").rows == ROWS
-        world.engines[0].act = lambda s: Act(after=0.2)
+        assert idle.request("select 0").rows == ROWS
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=0.2)
         active.send("select 1")
         world.until(lambda: len(world.engines[0].began) == 2)
         listener.drain()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from standins.faults import Link, Weather
+from standins.faults import Link, NetworkFaults
 from standins.links import Relay
 
 
@@ -27,7 +27,7 @@
             udp.settimeout(10)
             self.tcp[name] = socket.create_server(udp.getsockname())
             self.tcp[name].settimeout(10)
-            self.doors[name] = self.relay.door(name, udp.getsockname(), f"{net}.2.{number}")
+            self.doors[name] = self.relay.open_address(name, udp.getsockname(), f"{net}.2.{number}")
 
     def send(self, a: str, b: str, data: bytes) -> None:
         self.udp[a].sendto(data, self.doors[b])
@@ -88,7 +88,7 @@
 
 def test_a_partition_can_be_changed(ends):
     for shape, cut in ((("a", "b"), "ab"), (("a,b",), "bc")):
-        ends.relay("part", *shape)
+        ends.relay("partition", *shape)
         ends.send(*cut, b"over")
         assert ends.silent(cut[1])
     ends.send("a", "b", b"same side")
@@ -198,7 +198,7 @@
         "cut a d",
         "part a,d",
         "sever a b",
-        "door x",
+        "open x",
         "link a b rate=-1",
         "heal a",
     ],
@@ -214,25 +214,25 @@
 
 
 def fates(seed: int, **ab: float) -> list[list[float]]:
-    weather = Weather(seed, Link(loss=0.3, jitter_ms=10, repeat=0.2))
-    weather.link("a", "b", Link(**ab))
+    faults = NetworkFaults(seed, Link(loss=0.3, jitter_ms=10, repeat=0.2))
+    faults.link("a", "b", Link(**ab))
     found = []
     for _ in range(200):
-        weather.fate(0.0, "a", "b", 100)
-        found.append(weather.fate(0.0, "b", "a", 100))
+        faults.datagram_delays(0.0, "a", "b", 100)
+        found.append(faults.datagram_delays(0.0, "b", "a", 100))
     return found
 
 
 def test_a_seed_is_reproducible_and_links_are_independent():
     assert fates(1) == fates(1, loss=0.9, jitter_ms=3) != fates(2)
-    one, other = Weather(1, Link(jitter_ms=10)), Weather(1, Link(loss=0.5, jitter_ms=10))
-    delays = [one.fate(0.0, "a", "b", 1) for _ in range(100)]
-    kept = [fate for fate in (other.fate(0.0, "a", "b", 1) for _ in range(100)) if fate]
+    one, other = NetworkFaults(1, Link(jitter_ms=10)), NetworkFaults(1, Link(loss=0.5, jitter_ms=10))
+    delays = [one.datagram_delays(0.0, "a", "b", 1) for _ in range(100)]
+    kept = [fate for fate in (other.datagram_delays(0.0, "a", "b", 1) for _ in range(100)) if fate]
     assert kept == delays[: len(kept)]  # losses draw no delays
 
 
 def test_a_rate_limited_link_drops_what_would_wait_too_long():
-    weather = Weather(1, Link(rate=1000))
-    came = [weather.fate(0.0, "a", "b", 500) for _ in range(10)]
+    faults = NetworkFaults(1, Link(rate=1000))
+    came = [faults.datagram_delays(0.0, "a", "b", 500) for _ in range(10)]
     assert [fate[0] for fate in came if fate] == [0.5, 1.0, 1.5, 2.0] and came[4:] == [[]] * 6
-    assert weather.fate(10.0, "a", "b", 500) == [0.5]
+    assert faults.datagram_delays(10.0, "a", "b", 500) == [0.5]
--- a/tests/test_overload_part.py
+++ b/tests/test_overload_part.py
@@ -19,7 +19,7 @@
 from aspenrill.fleet.overload.retries import RetryBudget
 from aspenrill.fleet.overload.rules import Rules
 from aspenrill.fleet.overload.shares import allocate, band, water_fill
-from standins.cluster import Broken, Cluster
+from standins.cluster import Cluster, SimulationError
 from standins.faults import Link, schedule
 
 ENGINES = [(f"e{i}", 10.0) for i in range(6)]
@@ -85,7 +85,7 @@
 
 
 def test_the_sum_check_detects_a_defect():
-    with pytest.raises(Broken, match="sum to"):
+    with pytest.raises(SimulationError, match="sum to"):
         for seed in range(8):
             world = cluster(seed, load=SKEW, part=NeverLosesLease, checks=[sums])
             world.play(schedule(seed, world.names, 40.0))
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -12,7 +12,7 @@
 from aspenrill.core.owner import Owner
 from aspenrill.members import Member, News
 from aspenrill.net.hub import Hub
-from standins.scene import play
+from standins.scenario import run_scenario
 from standins.world import SETTINGS
 
 BAD, FINE = "bad", "fine"
@@ -70,7 +70,7 @@
             while self.owner.queue.items:
                 self.hub.sleep(0)
 
-        play(self.hub, deliver)
+        run_scenario(self.hub, deliver)
         assert self.owner.faults == sum(line.startswith("error: ") for line in self.lines)
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -18,7 +18,7 @@
 from aspenrill.net.inbox import Inbox
 from aspenrill.net.listener import Listener
 from aspenrill.wire import sql, thrift
-from standins.scene import play
+from standins.scenario import run_scenario
 from standins.world import SETTINGS, World
 
 ROOMY = replace(SETTINGS, cores_by_kind=(64,))  # enough capacity that no request is queued
@@ -164,7 +164,7 @@
     whole = b"".join(parts)
     hub = Hub()
 
-    def scene():
+    def scenario():
         for taken in range(len(whole) + 1):
             conn, theirs = failing_pair(hub, sendmsg=[taken], send=[1, 2])
             conn.write_parts(list(parts), time.monotonic() + 5)
@@ -175,7 +175,7 @@
             assert got == whole and conn.bytes_sent == len(whole)
             theirs.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 @pytest.mark.parametrize(
@@ -184,7 +184,7 @@
 def test_interrupted_and_blocked_calls_are_repeated(error):
     hub = Hub()
 
-    def scene():
+    def scenario():
         conn, theirs = failing_pair(hub, recv=[error], recv_into=[error], send=[error], sendmsg=[error])
         theirs.sendall(b"12345")
         assert conn.read(3, time.monotonic() + 5) == b"123"
@@ -198,14 +198,14 @@
         conn.close()
         theirs.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 @pytest.mark.parametrize("call", ["recv", "send", "sendmsg"])
 def test_fatal_errors_close_the_connection(call):
     hub = Hub()
 
-    def scene():
+    def scenario():
         conn, theirs = failing_pair(hub, **{call: [OSError(errno.ECONNRESET, "reset")]})
         theirs.sendall(b"x")
         with pytest.raises(Closed):
@@ -215,7 +215,7 @@
         conn.close()
         theirs.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 @pytest.mark.parametrize("code", [errno.EINTR, errno.EAGAIN, errno.EMFILE, errno.ECONNABORTED])
@@ -235,7 +235,7 @@
 
     Failing.sock, listener.sock = listener.sock, Failing()
 
-    def scene():
+    def scenario():
         theirs = socket.create_connection(listener.address)
         until = time.monotonic() + 5
         while not served and time.monotonic() < until:
@@ -244,7 +244,7 @@
         theirs.close()
         listener.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 @pytest.mark.parametrize(
@@ -266,7 +266,7 @@
                 super().connect_ex(address)
             return code
 
-    def scene():
+    def scenario():
         monkeypatch.setattr("aspenrill.net.conn.socket.socket", ScriptedSocket)
         if comes_up:
             connect(hub, server.getsockname(), time.monotonic() + 5).close()
@@ -275,7 +275,7 @@
                 connect(hub, server.getsockname(), time.monotonic() + 5)
             assert why.value.exhausted is exhausted
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     server.close()
 
 
@@ -284,7 +284,7 @@
 
     def run():
         client = world.client("once")
-        assert client.ask("select 1").kind == "served"
+        assert client.request("select 1").kind == "served"
         world.node.pools.retire(next(iter(world.node.owner.peers.values())))
         real, failing = socket.socket, [3]
 
@@ -296,7 +296,7 @@
                 super().__init__(*args, **more)
 
         monkeypatch.setattr("aspenrill.net.conn.socket.socket", ExhaustedSocket)
-        assert client.ask("insert 2").kind == "served" and not failing[0]
+        assert client.request("insert 2").kind == "served" and not failing[0]
         assert world.engines[0].statements == ["select 1", "insert 2"]
 
     world.run(run)
