--- a/tests/test_path_many.py
+++ b/tests/test_path_many.py
@@ -16,8 +16,8 @@
 from aspenrill.net.hub import Closed, Hub
 from aspenrill.wire import Malformed, thrift
 from standins.clients import Reply
-from standins.scene import play
-from standins.world import ROWS, SETTINGS, Act, World
+from standins.scenario import run_scenario
+from standins.world import ROWS, SETTINGS, EngineBehaviour, World
 
 ROOMY = replace(SETTINGS, cores_by_kind=(64,))  # enough capacity that no request is queued
 
@@ -41,7 +41,7 @@
 
     def run():
         at = [time.monotonic() + 0.5]
-        world.engines[0].act = lambda s: Act(
+        world.engines[0].behaviour = lambda s: EngineBehaviour(
             max(0.0, at[0] - time.monotonic()), s.endswith(" 17"), rows=[(s, "a", "b")]
         )
         client = world.client()
@@ -58,7 +58,7 @@
     world = World("thrift", 1, ROOMY)
 
     def run():
-        world.engines[0].act = lambda s: Act(after=0.4, rows=[(s, "a", "b")])
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=0.4, rows=[(s, "a", "b")])
         client = world.client()
         send_together(world, client, [f"select {i}" for i in range(4)])
         world.until(lambda: len(world.engines[0].began) == 4)
@@ -68,7 +68,7 @@
         )
         found = sorted(reply.rows[0][0] for reply in read_replies(client, 3))
         assert found == ["select 0", "select 2", "select 3"]
-        assert client.ask("select 9").rows[0][0] == "select 9"
+        assert client.request("select 9").rows[0][0] == "select 9"
         assert world.engines[0].stopped == ["select 1"]
 
     world.run(run)
@@ -79,7 +79,7 @@
 
     def run():
         wide = [(str(i), "x" * 40, "end") for i in range(700)]
-        world.engines[0].act = lambda s: Act(after=0.2, rows=wide)
+        world.engines[0].behaviour = lambda s: EngineBehaviour(after=0.2, rows=wide)
         client = world.client()
         client.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         send_together(world, client, [f"select {i}" for i in range(16)])
@@ -88,7 +88,7 @@
         client.close()
         world.until(lambda: not world.node.owner.open and not world.node.fronts[0][1].connections, 5)
         assert world.node.fronts[0][0].unread.writing == 0
-        assert world.client().ask("select 1").rows == wide
+        assert world.client().request("select 1").rows == wide
 
     world.run(run)
 
@@ -101,10 +101,10 @@
     def run():
         engine = world.engines[0]
         engine.page = 1100
-        engine.act = lambda s: Act(after=0.02 * int(s.split()[1]), rows=wide)
+        engine.behaviour = lambda s: EngineBehaviour(after=0.02 * int(s.split()[1]), rows=wide)
         client = world.client("usage-report")
         client.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        assert len(engine.pages(Act(rows=wide))) >= 37
+        assert len(engine.pages(EngineBehaviour(rows=wide))) >= 37
         world.until(lambda: world.node.fronts[0][1].connections)
         [conn] = world.node.fronts[0][1].connections
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
@@ -117,7 +117,7 @@
             send_together(world, client, [f"select {i}" for i in range(4, 12)])
             world.until(lambda: len(engine.ended) == 12)
             world.until(lambda s=session: not s.open_requests and not s.writer._parts)
-            size = sum(map(len, engine.pages(Act(rows=wide)))) + 100
+            size = sum(map(len, engine.pages(EngineBehaviour(rows=wide)))) + 100
             assert 0 < session.writer._queued_bytes() <= 12 * size, "buffered more than once, or not at all"
             for reply in read_replies(client, 12):
                 assert reply.rows == wide
@@ -150,11 +150,11 @@
 
     def run():
         client = world.client()
-        assert client.ask("select 1").rows == ROWS
+        assert client.request("select 1").rows == ROWS
         [conn] = world.node.fronts[0][1].connections
         busy, call_before_poll = [], world.hub.call_before_poll
         world.hub.call_before_poll = lambda call: (busy.append(conn.busy), call_before_poll(call))
-        assert client.ask("select 2").rows == ROWS and busy == [1] and conn.busy == 0
+        assert client.request("select 2").rows == ROWS and busy == [1] and conn.busy == 0
 
     world.run(run)
 
@@ -169,13 +169,13 @@
         seen, handle = [], world.node.owner.gateway.handle
         world.node.owner.gateway.handle = lambda now, event: (seen.append(event), handle(now, event))[1]
         client, valuable = world.client(), world.client("usage-report")
-        assert client.ask("select 1").rows == ROWS and seen
+        assert client.request("select 1").rows == ROWS and seen
         seen.clear()
         world.hub.lag = lambda: (service.shed_after[0] + service.shed_after[3]) / 2
-        assert client.ask("select 2").kind == "refused" and not seen
-        assert valuable.ask("select 3").kind == "served"  # of more worth: not yet shed
+        assert client.request("select 2").kind == "refused" and not seen
+        assert valuable.request("select 3").kind == "served"  # of more worth: not yet shed
         world.hub.lag = lambda: 0.0
-        assert client.ask("select 4").kind == "served"
+        assert client.request("select 4").kind == "served"
 
     world.run(run)
 
@@ -183,7 +183,7 @@
 def test_invalid_frame_lengths_end_the_connection():
     hub = Hub()
 
-    def scene():
+    def scenario():
         for data in (b"\0\0\0\0", b"\x7f\xff\xff\xff12", b"\0\1\0\1xx"):
             conn, theirs = failing_pair(hub)
             theirs.sendall(data)
@@ -192,4 +192,4 @@
             conn.close()
             theirs.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -13,7 +13,7 @@
 from aspenrill.net.conn import Connection
 from aspenrill.net.connecting import Refused
 from aspenrill.net.hub import TIMER_EXPIRED, Hub, Signal, TimedOut
-from standins.scene import play
+from standins.scenario import run_scenario
 
 LONG = 20.0  # seconds; a time-out that a passing test never reaches
 
@@ -69,7 +69,7 @@
             self.hub.give_way()
 
     def play(self, scene) -> None:
-        play(self.hub, scene)
+        run_scenario(self.hub, scene)
         for sock in self.ends:
             sock.close()
 
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -283,7 +283,9 @@
     origin = next(n for n in world.names if n != root)
     relay = world.procs[root].part("purges").tree.relay("s1")
     victim = {"relay": relay, "origin": origin, "coordinator": root}[who]
-    world.trip(victim, steps if who != "origin" else steps + 1, "crash")  # its first effect stores the record
+    world.fail_after(
+        victim, steps if who != "origin" else steps + 1, "crash"
+    )  # its first effect stores the record
     purge(world, origin, "g1")
     world.run(1.0)
     purge_id = next(iter(truth.floors))
@@ -294,7 +296,7 @@
 def test_without_a_majority_a_purge_is_acknowledged_and_not_complete():
     world, truth = build(3, 5, sites=1, buildings=1, loads=0.0)
     world.run(8.0)
-    world.net.part(world.names[:2])
+    world.net.partition(world.names[:2])
     world.run(8.0)
     purge(world, "m0000", "all")
     world.run(8.0)
--- a/tests/test_purges_fleet.py
+++ b/tests/test_purges_fleet.py
@@ -12,9 +12,9 @@
 from aspenrill.fleet.purges import leases, wire
 from aspenrill.fleet.purges.part import Purges
 from standins import cluster
-from standins.cluster import Broken, Cluster
+from standins.cluster import Cluster, SimulationError
 from standins.faults import Link, schedule
-from standins.purging import Truth, build, purge
+from standins.purging import CacheChecker, build, purge
 
 
 def pauses(rng: random.Random, names: list[str], seconds: float) -> list[tuple]:
@@ -24,22 +24,22 @@
         name, long = rng.choice(names), rng.uniform(2.0, 7.0)
         script += [
             (at, "pause", name, long),
-            (at + rng.choice((0.0, 0.005, 0.05, 0.2, 0.35)), "net.part", [name]),
+            (at + rng.choice((0.0, 0.005, 0.05, 0.2, 0.35)), "net.partition", [name]),
             (at + long + rng.choice((0.0, 0.5)), "net.heal"),
         ]
         at += long + 3.0
-    return [*script, (0.7 * seconds, "calm")]
+    return [*script, (0.7 * seconds, "end_faults")]
 
 
-def play(seed: int, seconds: float = 24.0, script=None, **more) -> tuple[Cluster, Truth]:
-    """Random faults, then none until no purge is open; raises Broken if an invariant is violated."""
+def play(seed: int, seconds: float = 24.0, script=None, **more) -> tuple[Cluster, CacheChecker]:
+    """Random faults, then none until no purge is open; raises SimulationError if an invariant is violated."""
     rng = random.Random(seed)
     size = more.pop("size", None) or rng.choice((3, 5, 5, 7, 9))
     world, truth = build(seed, size, sites=rng.choice((1, 2, 3)), garbage=0.02, loads=0.03, **more)
     if script is None:
         script = schedule(seed, world.names, seconds, gap=rng.choice((0.7, 2.0)))
     else:
-        script, truth.loose = script(rng, world.names, seconds), 1
+        script, truth.check_steps = script(rng, world.names, seconds), 1
     world.play(script)
     world.run(seconds)
     for proc in world.running:
@@ -56,16 +56,16 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_no_outdated_answer_under_random_faults(seed):
     world, truth = play(seed)
-    assert truth.complete and truth.served > 10 and truth.looks > 20
+    assert truth.complete and truth.served > 10 and truth.check_count > 20
 
 
 def test_two_hundred_processes_in_a_partition(monkeypatch):
     # the simulated membership checks all pairs, which dominates the cost
-    monkeypatch.setattr(cluster, "LOOK", 2.5)
+    monkeypatch.setattr(cluster, "CHECK_INTERVAL", 2.5)
     world, truth = build(11, 200, sites=4, buildings=3, rate=0.1, loads=0.0002)
     site = [name for name, proc in world.procs.items() if proc.place.site == "s3"]
     world.run(7.0)
-    world.net.part(site)
+    world.net.partition(site)
     world.run(1.0)
     purge(world, "m0000", "g1")
     purge(world, site[0], "g2")
@@ -180,7 +180,7 @@
     for seed in range(first, first + 20):
         try:
             play(seed, script=script, **more)
-        except Broken as broken:
+        except SimulationError as broken:
             assert "a purge after" in str(broken)
             return
     pytest.fail(f"{defect}: not found")
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -29,9 +29,9 @@
 from aspenrill.wire import bulletin as wire
 from aspenrill.wire import thrift
 from standins.clients import ThriftClient
-from standins.discovery import host
-from standins.scene import play
-from standins.world import Act, HttpEngine
+from standins.discovery import engine_entry
+from standins.scenario import run_scenario
+from standins.world import EngineBehaviour, HttpEngine
 
 MAX_WAIT_S = 60.0  # on a busy machine; everything finishes much sooner otherwise
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
@@ -56,7 +56,7 @@
     def start(self, hosts: list[tuple[str, int]], sockets: int) -> None:
         """Starts it with a known list and a limit of descriptors."""
         path = self.folder / "node.json"
-        known = [host(name, port) for name, port in hosts]
+        known = [engine_entry(name, port) for name, port in hosts]
         path.write_text(
             json.dumps(
                 {
@@ -132,10 +132,10 @@
         program.discovery.listen(5)
     program.start([(f"s-{number:08x}", program.discovery.getsockname()[1]) for number in range(1100)], 256)
 
-    def scene() -> None:
+    def scenario() -> None:
         program.until(program.well_client).close()
 
-    play(program.hub, scene)
+    run_scenario(program.hub, scenario)
     used = program.cpu()
     assert used < MAX_CPU_S, used
     assert "error" not in program.log()
@@ -146,7 +146,7 @@
     hub, greetings, running, address = program.hub, [], [], program.discovery.getsockname()
     engines = [HttpEngine(hub, f"s-{number:08x}") for number in range(4)]
     for engine in engines:
-        engine.act = lambda statement: Act(after=0.02 if statement == "quick" else 2.0)
+        engine.behaviour = lambda statement: EngineBehaviour(after=0.02 if statement == "quick" else 2.0)
     program.start([(engine.name, engine.listener.address[1]) for engine in engines], sockets)
 
     def serve(conn: Connection) -> None:
@@ -155,7 +155,7 @@
             conn.write(wire.HEAD.pack(9, 1, wire.NOTHING), time.monotonic() + 5)
             hub.sleep(1.0)
 
-    def scene() -> None:
+    def scenario() -> None:
         idle = [program.until(program.well_client) for _ in range(sockets // 3)]
         for _ in range(sockets):  # more than the limit; these send nothing
             idle.append(program.client())
@@ -169,11 +169,11 @@
         program.until(lambda: greetings)
         running.append(sum(engine.running for engine in engines))
         fresh = program.until(program.well_client)
-        assert fresh.ask("quick", MAX_WAIT_S, timeout="30000").kind == "served"
+        assert fresh.request("quick", MAX_WAIT_S, timeout="30000").kind == "served"
         for listener in [back, *(engine.listener for engine in engines)]:
             listener.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert running[0] > sockets // 4  # so it connected although no engine connection was closed
     assert "bulletin: Refused [" not in program.log() and "error" not in program.log()
 
@@ -239,16 +239,16 @@
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
     front.log_to = writer
 
-    def scene() -> None:
+    def scenario() -> None:
         client = front.client("lookup")
         for engine in front.engines:
             engine.listener.close()
         for number in range(200):
-            assert client.ask(f"select {number}", 30).kind in ("refused", "failed")
+            assert client.request(f"select {number}", 30).kind in ("refused", "failed")
 
     try:
         front.start(INFO | {"group_size": 1, "me": 0})
-        play(front.hub, scene)
+        run_scenario(front.hub, scenario)
         lines = os.read(reader, 65536)
         assert len(lines) > 2048 and b"request_refused" in lines
     finally:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -15,9 +15,9 @@
 from aspenrill.node import Node, platform
 from aspenrill.wire import bulletin as wire
 from standins.clients import ThriftClient
-from standins.discovery import Feed
-from standins.scene import play
-from standins.world import Act, HttpEngine
+from standins.discovery import BulletinServer
+from standins.scenario import run_scenario
+from standins.world import EngineBehaviour, HttpEngine
 
 FRONTS = 14  # front ends
 STATES = ("in_service", "terminating", "terminated")  # by state number
@@ -53,11 +53,11 @@
 
     silent = False
 
-    def say(self, conn: Connection, status: int, fields: dict | None = None, body: bytes = b"") -> None:
+    def respond(self, conn: Connection, status: int, fields: dict | None = None, body: bytes = b"") -> None:
         if self.silent:
             self.hub.sleep(20)
             raise Closed
-        super().say(conn, status, fields, body)
+        super().respond(conn, status, fields, body)
 
 
 class Release:
@@ -67,7 +67,7 @@
         self.lines: list[str] = []
         self.hub, self.path = Hub(self.lines.append), tmp_path
         self.events: list[tuple[int, int, bytes]] = []
-        self.feeds = [Feed(self.hub, self.events), Feed(self.hub, self.events)]
+        self.feeds = [BulletinServer(self.hub, self.events), BulletinServer(self.hub, self.events)]
         self.feed, self.engines, self.published, self.drains = self.feeds[0], {}, [], {}
         self.sent = self.busy = 0
         self.ends, self.unexpected = Counter(), []
@@ -82,7 +82,7 @@
         if address[1]:
             engine.listener.close()
             engine.listener = Listener(self.hub, address, engine.serve, 500, name)
-        engine.act = lambda statement: Act(after=0.04)
+        engine.behaviour = lambda statement: EngineBehaviour(after=0.04)
         self.engines[name] = engine
         return name
 
@@ -161,7 +161,7 @@
 
     def move(self) -> None:
         """Moves discovery to the other bulletin; the old one stays up and publishes nothing more."""
-        self.feed.tells, self.feed = False, self.feeds[1]
+        self.feed.sending, self.feed = False, self.feeds[1]
         for me in range(FRONTS):
             self.write(me)
         for node in self.nodes:
@@ -176,7 +176,7 @@
         if silent:
             engine.listener.close()
         else:
-            engine.down()
+            engine.shut_down()
         self.publish([(old, 2), (self.start(address), 0)])
 
     def run_client(self, number: int, act) -> None:
@@ -204,7 +204,7 @@
         """Sends thirty requests a second and runs each step at its time."""
         stop, self.hub.stop = self.hub.stop, lambda: None  # a front end that exits must not stop this loop
 
-        def scene() -> None:
+        def scenario() -> None:
             began, number = time.monotonic(), 0
             for at, what, *args in steps:
                 self.hub.spawn(lambda at=at, what=what, args=args: (self.hub.sleep(at), what(*args)))
@@ -216,13 +216,13 @@
                 self.hub.sleep(0.05)
             self.hub.stop = stop
 
-        play(self.hub, scene)
+        run_scenario(self.hub, scenario)
         errors = [line for line in self.lines if line.startswith("error")]
         assert not errors and not self.busy, (errors, self.busy)
 
 
 def send_request(client: ThriftClient, number: int) -> str:
-    return client.ask(f"select {number}", 8.0, req=f"{number:016x}", opkey=f"{number:032x}").kind
+    return client.request(f"select {number}", 8.0, req=f"{number:016x}", opkey=f"{number:032x}").kind
 
 
 def test_replacing_half_of_the_engines_while_front_ends_restart_and_discovery_moves(tmp_path):
@@ -275,14 +275,16 @@
     # the feed repeats complete lists, breaks off inside a list, and is late
     steps += [
         (0.7, made.publish_all),
-        (1.0, setattr, made.feed, "cut", 40),
+        (1.0, setattr, made.feed, "close_after", 40),
         (1.3, made.publish_all),
-        (1.5, setattr, made.feed, "cut", None),
-        (1.6, setattr, made.feed, "late", 0.3),
+        (1.5, setattr, made.feed, "close_after", None),
+        (1.6, setattr, made.feed, "poll_interval", 0.3),
         (1.9, made.publish_all),
     ]
     for engine in made.engines.values():
-        engine.act = lambda statement: Act(after=0.04, spoilt=statement.endswith("3"))
+        engine.behaviour = lambda statement: EngineBehaviour(
+            after=0.04, cut_first_answer=statement.endswith("3")
+        )
     made.play(4.0, steps, act)
     assert set(made.ends) <= {"served", "refused", "gone"}, (made.ends, made.unexpected)
     assert made.ends["served"] > 0.8 * (made.sent - made.ends["gone"]), made.ends
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -16,8 +16,8 @@
 from aspenrill.resolver.lookup import Failed, Patience, follow_aliases, lookup_steps
 from aspenrill.resolver.servers import MAX_BACK_OFF
 from aspenrill.wire import dns as wire
-from standins.nameserver import Act, NameServer
-from standins.scene import play
+from standins.nameserver import AnswerBehaviour, NameServer
+from standins.scenario import run_scenario
 
 N = wire.name_of
 NAME = N("_tds._tcp.x.example")
@@ -234,46 +234,46 @@
 def test_an_answer_is_queried_once_and_cached(host):
     hub, [server], resolver = world(host=host)
 
-    def scene():
+    def scenario():
         first = resolver.lookup(NAME, wire.SRV)
         assert (
             record_data(first) == [(0, 5, 1433, N("h.x.example"))]
             and resolver.lookup(NAME, wire.SRV) is first
         )
-        assert len(server.asked) == 1
-        assert resolver.lookup(NAME, wire.SRV, bypass_cache=True) is not first and len(server.asked) == 2
+        assert len(server.questions) == 1
+        assert resolver.lookup(NAME, wire.SRV, bypass_cache=True) is not first and len(server.questions) == 2
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 @pytest.mark.parametrize(
     "act",
     [
-        Act(delay=0.05, number=7),
-        Act(delay=0.05, question="other.example."),
-        Act(lose=True),
-        Act(raw=b"\0" * 40),
-        Act(code=2),
-        Act(code=5),
-        Act(truncate=True, stream="stall"),
-        Act(truncate=True, stream="cut"),
-        Act(truncate=True, stream="lie"),
-        Act(truncate=True, stream="refuse"),
-        Act(raw=b"\0\1\x84\0\0\1\0\1\0\0\0\0\xc0\x0c"),
+        AnswerBehaviour(delay=0.05, number=7),
+        AnswerBehaviour(delay=0.05, question="other.example."),
+        AnswerBehaviour(drop=True),
+        AnswerBehaviour(raw=b"\0" * 40),
+        AnswerBehaviour(code=2),
+        AnswerBehaviour(code=5),
+        AnswerBehaviour(truncate=True, stream="stall"),
+        AnswerBehaviour(truncate=True, stream="cut"),
+        AnswerBehaviour(truncate=True, stream="lie"),
+        AnswerBehaviour(truncate=True, stream="refuse"),
+        AnswerBehaviour(raw=b"\0\1\x84\0\0\1\0\1\0\0\0\0\xc0\x0c"),
     ],
     ids=["number", "question", "lost", "noise", "2", "5", "stall", "cut", "lie", "refuse", "circle"],
 )
 def test_another_server_answers_when_the_first_one_fails(act):
     hub, [bad, good], resolver = world(2)
-    bad.act = lambda asked: act
+    bad.behaviour = lambda asked: act
 
-    def scene():
+    def scenario():
         began = time.monotonic()
         assert record_data(resolver.lookup(NAME, wire.SRV)) == [(0, 5, 1433, N("h.x.example"))]
-        assert time.monotonic() - began < 1.5 and len(good.asked) == 1
+        assert time.monotonic() - began < 1.5 and len(good.questions) == 1
         assert resolver.servers.all[0].failures == 1
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 def test_a_forged_answer_that_arrives_first_is_ignored():
@@ -288,7 +288,7 @@
         reply.id = changed.get("number", query.id)
         return reply.to_wire()
 
-    server.act = lambda asked: Act(delay=0.05, forged=lie)
+    server.behaviour = lambda asked: AnswerBehaviour(delay=0.05, forged=lie)
     reply = server._reply
 
     def first(query, act, who):
@@ -297,21 +297,21 @@
 
     server._reply = first
 
-    def scene():
+    def scenario():
         assert record_data(resolver.lookup(NAME, wire.SRV)) == [(0, 5, 1433, N("h.x.example"))]
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 def test_many_unrelated_replies_move_the_question_to_tcp():
     hub, [server], resolver = world()
-    server.act = lambda asked: Act(first=(b"\0" * 12,) * 60)
+    server.behaviour = lambda asked: AnswerBehaviour(first=(b"\0" * 12,) * 60)
 
-    def scene():
+    def scenario():
         assert record_data(resolver.lookup(NAME, wire.SRV)) == [(0, 5, 1433, N("h.x.example"))]
-        assert [asked.stream for asked in server.asked] == [False, True]
+        assert [asked.stream for asked in server.questions] == [False, True]
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 def test_an_answer_of_64_kb_with_1000_targets_is_read_over_tcp():
@@ -323,11 +323,11 @@
         *(f"0 1 {port} engine-number-{port:05}.with.a.long.name.x." for port in range(1, 1001)),
     )
 
-    def scene():
+    def scenario():
         found = resolver.lookup(NAME, wire.SRV)
-        assert len(found.records) == 1000 and [a.stream for a in server.asked] == [False, True]
+        assert len(found.records) == 1000 and [a.stream for a in server.questions] == [False, True]
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 def test_query_ids_and_ports_differ_between_questions():
@@ -335,26 +335,26 @@
     seen, reply = [], server._reply
     server._reply = lambda query, act, who: (seen.append((query.id, who[1])), reply(query, act, who))
 
-    def scene():
+    def scenario():
         for _ in range(12):
             resolver.lookup(NAME, wire.SRV, bypass_cache=True)
         assert len({number for number, _ in seen}) > 10 and len({port for _, port in seen}) > 10
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 def test_the_same_question_from_many_tasks_is_sent_once_and_others_are_bounded():
     hub, [server], resolver = world()
-    server.act = lambda asked: Act(delay=0.1)
+    server.behaviour = lambda asked: AnswerBehaviour(delay=0.1)
     for at in range(40):
         server.put(f"h{at}.x.example.", "A", "127.0.0.1", ttl=60)
     found = []
 
-    def scene():
+    def scenario():
         for _ in range(8):
             hub.spawn(lambda: found.append(resolver.lookup(NAME, wire.SRV)))
         hub.sleep(0.3)
-        assert len(found) == 8 and len(server.asked) == 1
+        assert len(found) == 8 and len(server.questions) == 1
         began = time.monotonic()
         answers = resolver.lookup_many(
             [(N(f"h{at}.x.example"), wire.A) for at in range(40)] + [(N("no.x.example"), wire.A)]
@@ -362,16 +362,16 @@
         assert [record_data(a) for a in answers[:40]] == [["127.0.0.1"]] * 40 and answers[40].code == 3
         assert 0.25 < time.monotonic() - began < 1.5  # 16 at a time
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 def test_the_last_answer_is_stale_while_no_server_answers():
     hub, [server], resolver = world()
     server.srv("_tds._tcp.x.example.", (0, 5, 1433, "h.x.example.", "127.0.0.1"), ttl=1)
 
-    def scene():
+    def scenario():
         resolver.lookup(NAME, wire.SRV)
-        server.act = lambda asked: Act(lose=True)
+        server.behaviour = lambda asked: AnswerBehaviour(drop=True)
         hub.sleep(1.05)
         late = resolver.lookup(NAME, wire.SRV)
         assert (
@@ -380,7 +380,7 @@
         with pytest.raises(Failed):
             resolver.lookup(N("never.x.example"), wire.SRV)
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 def test_a_look_up_fails_while_no_descriptor_is_free_and_succeeds_afterwards(monkeypatch):
@@ -389,11 +389,11 @@
     def none(*_):
         raise OSError(24, "Too many open files")
 
-    def scene():
+    def scenario():
         monkeypatch.setattr("aspenrill.resolver.client.socket.socket", none)
         with pytest.raises(Failed, match="Too many open files"):
             resolver.lookup(NAME, wire.SRV)
         monkeypatch.undo()
         assert resolver.lookup(NAME, wire.SRV).records
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -19,7 +19,7 @@
 from aspenrill.roster.dnssd import properties
 from aspenrill.wire import bulletin
 from standins import world
-from standins.scene import play
+from standins.scenario import run_scenario
 
 
 def until(hub: Hub, condition, within: float = 8.0) -> None:
@@ -57,7 +57,7 @@
 
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "bulletin")
     hub.spawn(bulletin_watcher.BulletinWatcher(hub, listener.address, 4, news.append).run)
-    play(hub, lambda: until(hub, lambda: len(news) == 3))
+    run_scenario(hub, lambda: until(hub, lambda: len(news) == 3))
     assert [n.number for n in news] == [5, 6, 9] and news[0].members[0].state is EngineState.DRAINING
     assert greetings[:5] == [4, 5, 5, 5, 6]
 
@@ -74,7 +74,7 @@
 
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "bulletin")
     bulletin_watcher.BulletinWatcher(hub, listener.address, 4, news.append).start()
-    play(hub, lambda: until(hub, lambda: len(news) == 2, 2))
+    run_scenario(hub, lambda: until(hub, lambda: len(news) == 2, 2))
     assert greetings == [4, 5] and [n.number for n in news] == [5, 6]
 
 
@@ -95,7 +95,7 @@
     bulletin_ = bulletin_watcher.BulletinWatcher(hub, old.address, 4, news.append)
     bulletin_.start()
 
-    def scene():
+    def scenario():
         until(hub, lambda: len(news) == 1)
         bulletin_.move(new.address)
         until(hub, lambda: len(news) == 2, 1.0)
@@ -107,7 +107,7 @@
         bulletin_.move(old.address)
         until(hub, lambda: len(news) == 3, 1.0)
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert asked == [("old", 4), ("new", 5), ("old", 6)]
 
 
@@ -136,7 +136,7 @@
 
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "bulletin")
     hub.spawn(bulletin_watcher.BulletinWatcher(hub, listener.address, 4, news.append, 2048).run)
-    play(hub, lambda: until(hub, lambda: len(news) == 2))
+    run_scenario(hub, lambda: until(hub, lambda: len(news) == 2))
     assert [n.number for n in news] == [5, 6] and not news[0].whole
     assert [m.state for m in news[0].members] == [EngineState.DRAINING]
     assert len(logged) == 1 and "3000 engines refused" in logged[0] and "2048" in logged[0]
--- a/tests/test_scarcity.py
+++ b/tests/test_scarcity.py
@@ -17,8 +17,8 @@
 from aspenrill.net.listener import Listener
 from aspenrill.net.scarcity import retry
 from aspenrill.node import platform
-from standins.scene import play
-from standins.world import Act
+from standins.scenario import run_scenario
+from standins.world import EngineBehaviour
 
 SETTINGS = INFO | {"group_size": 1, "me": 0}
 
@@ -52,19 +52,19 @@
     front = FrontEnd(tmp_path, ("-m",))
     former = socket.socket()
     former.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    former.bind(front.front.place.getsockname())
+    former.bind(front.front.reserved_socket.getsockname())
     former.listen(1)
 
-    def scene() -> None:
+    def scenario() -> None:
         front.hub.sleep(1.0)
         former.close()
-        assert front.client("lookup").ask("select 1", 30).kind == "served"
+        assert front.client("lookup").request("select 1", 30).kind == "served"
 
     try:
         for engine in front.engines:
-            engine.act = lambda statement: Act()
+            engine.behaviour = lambda statement: EngineBehaviour()
         front.start(SETTINGS)
-        play(front.hub, scene)
+        run_scenario(front.hub, scenario)
     finally:
         former.close()
         front.stop()
@@ -100,10 +100,10 @@
         return real(self, *words, **more)
 
     monkeypatch.setattr(Path, "read_text", read_text)
-    play(hub, node.reload)
+    run_scenario(hub, node.reload)
     assert not failures and "configuration read again" in logged
     failures += [errno.EIO]
-    play(hub, node.reload)
+    run_scenario(hub, node.reload)
     assert logged[-1].startswith("configuration not taken, the old one stays: NODE_CONFIG")
 
 
@@ -126,7 +126,7 @@
         def __getattr__(self, name: str):
             return getattr(real, name)
 
-    def scene() -> None:
+    def scenario() -> None:
         conns = [connect(hub, listener.address, time.monotonic() + 5) for _ in range(3)]
         for conn in conns:
             conn.write(b"x", time.monotonic() + 5)
@@ -139,5 +139,5 @@
         for conn in conns:
             conn.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert served == [b"x"] * 3 and not failures
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -14,9 +14,9 @@
 
 from aspenrill.net.hub import Closed
 from standins.clients import ThriftClient
-from standins.scene import play
-from standins.slowlink import Piece, SlowLink, scripted, straight
-from standins.world import Act
+from standins.scenario import run_scenario
+from standins.slowlink import Piece, SlowLink, scripted, unshaped
+from standins.world import EngineBehaviour
 
 SETTINGS = INFO | {"group_size": 1, "me": 0}
 TIMEOUT = "30000"  # milliseconds, the client's time-out
@@ -43,7 +43,7 @@
 def client_behind(front: FrontEnd, pieces: Sequence[Piece]) -> ThriftClient:
     """A client whose data reaches the front end in these pieces."""
     front.client("lookup").close()  # wait until it is up
-    link = SlowLink(front.hub, front.address, lambda _: (scripted(pieces), straight))
+    link = SlowLink(front.hub, front.address, lambda _: (scripted(pieces), unshaped))
     return ThriftClient(SimpleNamespace(hub=front.hub, address=link.address), "lookup", 30.0)
 
 
@@ -51,7 +51,7 @@
 def test_requests_on_a_stalled_link_are_answered(front, how):
     kinds: list[str] = []
 
-    def scene() -> None:
+    def scenario() -> None:
         client = client_behind(front, STALLS[how])
         for number in range(1 + FOLLOWING):
             client.send(f"select {number}", timeout=TIMEOUT)
@@ -63,7 +63,7 @@
 
     front.start(SETTINGS)
     began = time.monotonic()
-    play(front.hub, scene)
+    run_scenario(front.hub, scenario)
     assert kinds == ["served"] * (1 + FOLLOWING), (kinds, time.monotonic() - began, front.log())
 
 
@@ -72,7 +72,7 @@
     kinds: list[str] = []
     rows = [(str(number), "x" * 40, "end") for number in range(900)]  # close to the size limit of a result
 
-    def scene() -> None:
+    def scenario() -> None:
         client = client_behind(front, [])
         client.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         for number in range(MAX_OPEN):
@@ -84,8 +84,8 @@
             assert reply.kind != "served" or reply.rows == rows
 
     for engine in front.engines:
-        engine.act = lambda statement: Act(rows=rows)
+        engine.behaviour = lambda statement: EngineBehaviour(rows=rows)
     front.start(SETTINGS)
-    play(front.hub, scene)
+    run_scenario(front.hub, scenario)
     assert len(kinds) == MAX_OPEN and set(kinds) <= {"served", "refused"}, (kinds, front.log())
     assert kinds.count("served") >= MAX_OPEN // 2, (kinds, front.log())
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -10,9 +10,9 @@
 
 from aspenrill import api
 from aspenrill.gathering import Gathering
-from standins.nameserver import Act, NameServer
+from standins.nameserver import AnswerBehaviour, NameServer
 from standins.world import ROWS, SETTINGS, World
-from standins.world import Act as Work
+from standins.world import EngineBehaviour as Work
 
 PROTOCOLS = pytest.mark.parametrize("protocol", ["thrift", "tds"])
 
@@ -30,15 +30,15 @@
         m.roster(m.world.member(a), m.world.member(b), whole=True)
         client = m.world.client()
         for _ in range(20):
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
         assert a.began and b.began
         m.roster(m.world.member(a, api.EngineState.DRAINING))
         told = time.monotonic()
-        asked = len(m.server.asked)
+        asked = len(m.server.questions)
         while time.monotonic() < told + 2.0:
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
         assert max(at for at, _ in a.began) < told + 0.5 and max(at for at, _ in b.began) > told + 1.5
-        assert len(m.server.asked) > asked, "the records were not asked for again meanwhile"
+        assert len(m.server.questions) > asked, "the records were not asked for again meanwhile"
 
     m.run(play)
 
@@ -52,10 +52,10 @@
         m.begin()
         m.listed(*m.engines)
         gone, client = m.engines[2], m.world.client()
-        gone.act = lambda s: Work(after=1.5 if "long" in s else 0)
+        gone.behaviour = lambda s: Work(after=1.5 if "long" in s else 0)
         report = m.world.client("usage-report")
         for engine in m.engines[:2]:
-            engine.act = gone.act
+            engine.behaviour = gone.behaviour
         while not any("long" in s for s in gone.statements):
             report = m.world.client("usage-report")
             report.send("select long from sales_1.x")
@@ -64,7 +64,7 @@
         m.listed(*m.engines[:2])
         learned = time.monotonic()
         while time.monotonic() < learned + 0.8:
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
         assert max(at for at, _ in gone.began) < learned + 0.05
         assert report.read(10).rows == ROWS and not gone.stopped  # what it has, it ends
 
@@ -78,15 +78,15 @@
         m.srv(*m.engines[:2])
         m.begin()
         m.listed(*m.engines[:2])
-        m.server.act = lambda asked: Act(lose=True)
+        m.server.behaviour = lambda asked: AnswerBehaviour(drop=True)
         client, until = m.world.client(), time.monotonic() + 3.0
         while time.monotonic() < until:
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
             assert m.live == {e.listener.address[1] for e in m.engines[:2]}
             m.hub.sleep(0.02)
         assert sum("its last list of 2 stays" in line for line in m.world.logged) == 1
         m.srv(*m.engines)
-        m.server.act = lambda asked: Act()
+        m.server.behaviour = lambda asked: AnswerBehaviour()
         m.listed(*m.engines)
         assert any("answers again" in line for line in m.world.logged)
 
@@ -96,12 +96,12 @@
 @pytest.mark.parametrize(
     "act, kept",
     [
-        (Act(code=3), False),
-        (Act(), False),
-        (Act(code=2), True),
-        (Act(code=5), True),
-        (Act(truncate=True, stream="stall"), True),
-        (Act(truncate=True, stream="cut"), True),
+        (AnswerBehaviour(code=3), False),
+        (AnswerBehaviour(), False),
+        (AnswerBehaviour(code=2), True),
+        (AnswerBehaviour(code=5), True),
+        (AnswerBehaviour(truncate=True, stream="stall"), True),
+        (AnswerBehaviour(truncate=True, stream="cut"), True),
     ],
     ids=["NXDOMAIN", "empty", "code 2", "code 5", "TCP stalls", "TCP cut"],
 )
@@ -116,7 +116,7 @@
         if not kept:
             m.server.put(SERVICE, "SRV")
             m.server.put("more." + SERVICE, "TXT", '"x"')
-        m.server.act = lambda asked: act if asked.kind == "SRV" else Act()
+        m.server.behaviour = lambda asked: act if asked.kind == "SRV" else AnswerBehaviour()
         m.world.until(lambda: any("stays" in s or "second look" in s for s in m.world.logged))
         assert len(m.live) == 3
         if kept:
@@ -136,14 +136,14 @@
     [engine] = m.engines
 
     def play():
-        engine.act = lambda s: Work(after=1.2 if "long" in s else 0)
+        engine.behaviour = lambda s: Work(after=1.2 if "long" in s else 0)
         m.server.put(SD, "PTR", f"old.{SD}")
         m.instance("old", engine)
         m.instance("new", engine)
         m.begin()
         m.listed(engine)
         report, client = m.world.client("usage-report"), m.world.client()
-        assert client.ask("select 1").rows == ROWS
+        assert client.request("select 1").rows == ROWS
         before = next(iter(m.world.node.owner.peers.values()))
         idle = list(before.idle)
         report.send("select long from sales_1.x")
@@ -152,7 +152,7 @@
         m.world.until(
             lambda: any("new" in name and p.takes_work for name, p in m.world.node.owner.peers.items())
         )
-        assert client.ask("select 2").rows == ROWS
+        assert client.request("select 2").rows == ROWS
         assert report.read(10).rows == ROWS and not engine.stopped
         now = m.world.node.owner.peers[f"new.{SD}".rstrip(".")]
         assert now is not before and now.started > 0 and not before.idle
@@ -191,7 +191,7 @@
         m.begin()
         m.listed(*m.engines)
         for _ in range(8):
-            assert m.world.client().ask("select 1").rows == ROWS
+            assert m.world.client().request("select 1").rows == ROWS
         assert all(e.began for e in m.engines)
         assert all(":" in p.address[0] for p in m.world.node.owner.peers.values())
 
@@ -214,12 +214,12 @@
         m.listed(*first)
         client = m.world.client()
         for _ in range(8):
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
         for engine in first:
-            engine.down()
+            engine.shut_down()
         kinds, until = [], time.monotonic() + 6
         while time.monotonic() < until and not all(e.began for e in second):
-            kinds.append(client.ask("select 1").kind)
+            kinds.append(client.request("select 1").kind)
             m.hub.sleep(0.01)
         assert all(e.began for e in second), "the second tier got no work"
         assert any("tier 7 opens" in line for line in m.world.logged)
@@ -238,7 +238,7 @@
     lead = Merged(protocol, 2, "srv", settings=setup)
     warm, cold = lead.engines
     for engine in (warm, cold):
-        engine.act = lambda s: Work(after=work)
+        engine.behaviour = lambda s: Work(after=work)
     nodes = []
     for me in range(3):
         world = World(protocol, 0, replace(setup, me=me), listed=False, hub=lead.hub)
@@ -271,7 +271,7 @@
     a, b = m.engines
 
     def play():
-        a.act = b.act = lambda s: Work(after=1.0 if "long" in s else 0)
+        a.behaviour = b.behaviour = lambda s: Work(after=1.0 if "long" in s else 0)
         m.srv(a, b)
         m.begin()
         m.listed(a, b)
@@ -280,9 +280,9 @@
         m.world.until(lambda: a.running or b.running)
         peers = dict(m.world.node.owner.peers)
         other = NameServer(m.hub)
-        other.zone, other.act = m.server.zone, lambda asked: Act(delay=0.15)
+        other.zone, other.behaviour = m.server.zone, lambda asked: AnswerBehaviour(delay=0.15)
         records = replace(m.sources.sources[1], name="others")
-        m.server.act = lambda asked: Act(lose=True)
+        m.server.behaviour = lambda asked: AnswerBehaviour(drop=True)
         m.gathering.change(
             replace(
                 m.sources,
@@ -290,14 +290,14 @@
                 resolvers=(replace(m.resolver, servers=(other.address,)),),
             )
         )
-        m.world.until(lambda: other.asked)
+        m.world.until(lambda: other.questions)
         assert m.live == {e.listener.address[1] for e in m.engines}
         m.hub.sleep(0.6)
         assert dict(m.world.node.owner.peers) == peers  # the same engines, the same pools
         assert report.read(10).rows == ROWS
-        m.server.act = lambda asked: Act()
-        asked = len(m.server.asked)
+        m.server.behaviour = lambda asked: AnswerBehaviour()
+        asked = len(m.server.questions)
         m.hub.sleep(1.2)
-        assert len(m.server.asked) == asked, "the old resolver is still asked"
+        assert len(m.server.questions) == asked, "the old resolver is still asked"
 
     m.run(play)
--- a/tests/test_sources_users.py
+++ b/tests/test_sources_users.py
@@ -18,7 +18,7 @@
 from aspenrill.tool.sources import gather, print_report
 from aspenrill.wire import dns
 from standins.nameserver import NameServer
-from standins.scene import play
+from standins.scenario import run_scenario
 
 # ---- the module: weights ------------------------------------------------------------------------------
 
@@ -102,7 +102,7 @@
     table.write_text(good)
     node = platform(hub, {"NODE_CONFIG": str(path)}, tmp_path / "none.toml", table)
 
-    def scene():
+    def scenario():
         until = time.monotonic() + 8
         while len(node.owner.peers) < 1 and time.monotonic() < until:
             hub.sleep(0.02)
@@ -111,7 +111,7 @@
         node.reload()
         assert any("configuration not taken" in line and "source" in line for line in lines)
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     table.write_text(good.replace('type = "bulletin"', 'type = "list"'))
     with pytest.raises(ConfigError, match=r"sources.toml: source\[0\].engine"):
         platform(Hub(), {"NODE_CONFIG": str(path)}, tmp_path / "none.toml", table)
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -352,7 +352,7 @@
 
     def play():
         world = SimpleNamespace(hub=hub, address=node.fronts[1][1].address)
-        replies.append(TdsClient(world, "anyone", 5).ask("select 1 from sales_1.x"))
+        replies.append(TdsClient(world, "anyone", 5).request("select 1 from sales_1.x"))
         hub.stop()
 
     hub.spawn(play)
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -13,8 +13,8 @@
 
 from aspenrill.net.conn import NO_MEMORY_ERRNOS, UNREACHABLE_ERRNOS
 from aspenrill.net.hub import Closed, Hub
-from standins.scene import play
-from standins.world import ROWS, Act, World
+from standins.scenario import run_scenario
+from standins.world import ROWS, EngineBehaviour, World
 
 TRANSIENT = [*NO_MEMORY_ERRNOS, *UNREACHABLE_ERRNOS]
 NAMES = [errno.errorcode[code] for code in TRANSIENT]
@@ -29,7 +29,7 @@
 def test_a_transient_error_does_not_end_the_connection(code):
     hub, got = Hub(), []
 
-    def scene() -> None:
+    def scenario() -> None:
         conn, far = failing_pair(hub, recv=[error(code)] * 3, send=[error(code), 3, error(code)])
         far.sendall(b"question")
         got.append(conn.read(8, time.monotonic() + 5))
@@ -38,7 +38,7 @@
         conn.close()
         far.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert got == [b"question", b"answered"]
 
 
@@ -46,7 +46,7 @@
 def test_the_same_error_ends_a_connection_that_the_peer_has_reset(code):
     hub = Hub()
 
-    def scene() -> None:
+    def scenario() -> None:
         conn, far = failing_pair(hub, recv=[error(code)])
         far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         far.close()
@@ -54,7 +54,7 @@
             conn.fill(time.monotonic() + 5)
         conn.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
 
 
 def test_a_request_after_a_malformed_message_is_refused():
@@ -62,7 +62,7 @@
     world = World("thrift", 1)
 
     def run() -> None:
-        world.engines[0].act = lambda statement: Act(after=0.3)
+        world.engines[0].behaviour = lambda statement: EngineBehaviour(after=0.3)
         client = world.client()
         client.send("select 1")
         client.conn.write(b"\0\0\0\4GET ", time.monotonic() + 5)
@@ -80,7 +80,7 @@
     world = World("thrift", 1)
 
     def run() -> None:
-        world.engines[0].act = lambda statement: Act(after=5.0)
+        world.engines[0].behaviour = lambda statement: EngineBehaviour(after=5.0)
         client = world.client()
         client.send("select 1")
         world.until(lambda: world.engines[0].running)
@@ -98,7 +98,7 @@
 
     def run() -> None:
         listener, client = world.node.fronts[0][1], world.client()
-        assert client.ask("select 1").rows == ROWS
+        assert client.request("select 1").rows == ROWS
 
         class FailingOnce:
             """Accepts after one error."""
@@ -116,8 +116,8 @@
                 return self.sock.accept()
 
         listener.sock = FailingOnce(listener.sock)
-        assert world.client().ask("select 2").rows == ROWS
-        assert listener.sock.failed and client.ask("select 3").rows == ROWS
+        assert world.client().request("select 2").rows == ROWS
+        assert listener.sock.failed and client.request("select 3").rows == ROWS
 
     world.run(run)
 
@@ -129,10 +129,10 @@
     def run() -> None:
         service, client = world.node.fronts[0][0], world.client()
         read, service.reader.read = service.reader.read, None
-        assert client.ask("select 1").kind == "broken"
+        assert client.request("select 1").kind == "broken"
         service.reader.read = read
         for number in range(2, 5):
-            assert client.ask(f"select {number}").rows == ROWS
+            assert client.request(f"select {number}").rows == ROWS
         world.logged.clear()
 
     world.run(run)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -23,8 +23,8 @@
 from aspenrill.roster import dial
 from aspenrill.roster.srv import Srv
 from aspenrill.wire import bulletin as wire
-from standins.scene import play
-from standins.world import Act, World
+from standins.scenario import run_scenario
+from standins.world import EngineBehaviour, World
 
 UPDATE_TIMEOUT = 7.0  # seconds after which an update counts as known: protocol, "Figures"
 SEND_GRACE = 0.5  # seconds after that within which an attempt may still begin
@@ -151,14 +151,14 @@
     watcher.start()
     port = world.engines[0].listener.address[1]
     for engine in world.engines:
-        engine.act = lambda statement: Act(after=0.01)
+        engine.behaviour = lambda statement: EngineBehaviour(after=0.01)
     drained, received = [], []
 
     def move() -> None:
         old.silent_up_to = 10**6  # the old bulletin sends nothing more
         watcher.move(new.listener.address)
 
-    def scene() -> None:
+    def scenario() -> None:
         world.until(lambda: old.asked)
         old.publish(port, 0)  # the engine is live, as is known: this event is repeated later
         old.silent_connections |= silent_connections
@@ -177,10 +177,10 @@
         while time.monotonic() < began + UPDATE_TIMEOUT + SEND_GRACE + 1:
             if watcher.last_event == 3 and not received:
                 received.append(time.monotonic() - began)
-            assert client.ask("select 1", 5.0).kind == "served"
+            assert client.request("select 1", 5.0).kind == "served"
             hub.sleep(0.02)
 
-    world.run(scene)
+    world.run(scenario)
     for one in (old, new):
         one.listener.close()
     begun = [[at - drained[0] for at, _ in engine.began] for engine in world.engines]
@@ -209,7 +209,7 @@
     watcher = bulletin_watcher.BulletinWatcher(hub, unresponsive_listener(backlog), 1, lambda news: None)
     counts = []
 
-    def scene() -> None:
+    def scenario() -> None:
         before = len(os.listdir("/proc/self/fd"))
         watcher.start()
         began = time.monotonic()
@@ -225,7 +225,7 @@
         counts.append(len(os.listdir("/proc/self/fd")) - before)
         came.listener.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     for sock in backlog:
         sock.close()
     # two dials, or the reserved descriptor; at the end the listener and both ends of the connection
@@ -249,7 +249,7 @@
     scripted_dials.delays = list(delays)
     discovery, took = Discovery(hub), []
 
-    def scene() -> None:
+    def scenario() -> None:
         began = time.monotonic()
         try:
             conn = dial.Dialer(hub).dial(discovery.listener.address)
@@ -261,7 +261,7 @@
             took.append(time.monotonic() - began)
         discovery.listener.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert took == [pytest.approx(expected_s, abs=0.1)]
     assert scripted_dials.out == 0
 
@@ -273,7 +273,7 @@
     discovery.first_bytes = dict.fromkeys(range(1000), discovery.events[0])
     watcher = bulletin_watcher.BulletinWatcher(hub, discovery.listener.address, 2, news.append)
 
-    def scene() -> None:
+    def scenario() -> None:
         watcher.start()
         hub.sleep(10)
         assert len(discovery.asked) == 2
@@ -281,7 +281,7 @@
         hub.sleep(0.5)
         discovery.listener.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert discovery.asked == [2, 2] and [one.number for one in news] == [3]
 
 
@@ -301,12 +301,12 @@
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "late")
     watcher = bulletin_watcher.BulletinWatcher(hub, listener.address, 1, news.append)
 
-    def scene() -> None:
+    def scenario() -> None:
         watcher.start()
         hub.sleep(8)
         listener.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert [one.number for one in news] == [2]
 
 
@@ -322,14 +322,14 @@
         if len(posted) == 1:
             raise error
 
-    def scene() -> None:
+    def scenario() -> None:
         bulletin_watcher.BulletinWatcher(hub, discovery.listener.address, 1, post).start()
         hub.sleep(1)
         discovery.publish(80, 2)
         hub.sleep(1)
         discovery.listener.close()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert posted == [2, 3]
 
 
@@ -358,7 +358,7 @@
         server.setblocking(False)
         source = Srv(hub, "x", Resolver(hub, [server.getsockname()]), "_x._tcp.test", "ipv4", sink)
 
-        def scene() -> None:
+        def scenario() -> None:
             source.start()
             while not hub._waits[1]:  # until its query is sent
                 hub.sleep(0.01)
@@ -367,7 +367,7 @@
             hub.sleep(12)
             assert task.dead
 
-        play(hub, scene)
+        run_scenario(hub, scenario)
         assert len(server.recv(512)) > 12 and sink.received == []
 
 
@@ -377,10 +377,10 @@
     source = Srv(hub, "x", Resolver(hub, [("127.0.0.1", 9)]), "_x._tcp.test", "ipv4", sink)
     monkeypatch.setattr(source, "poll", lambda bypass_cache: ([], time.monotonic(), time.monotonic() + 1))
 
-    def scene() -> None:
+    def scenario() -> None:
         source.start()
         hub.sleep(3.5)
         source.stop()
 
-    play(hub, scene)
+    run_scenario(hub, scenario)
     assert sink.received[:3] == ["told", "failed", "told"] and lines[0].startswith("error: source x")
