--- a/aspenrill/fleet/service.py
+++ b/aspenrill/fleet/service.py
@@ -199,7 +199,7 @@
                 pass
             except Exception:
                 self.faults += 1
-                self.hub.report("fleet", traceback.format_exc())
+                self.hub.report_error("fleet", traceback.format_exc())
                 self.hub.sleep(MAX_WAIT)
 
     def run_due(self) -> None:
@@ -279,7 +279,7 @@
             effects = call(*args)
         except Exception:
             self.faults += 1
-            self.hub.report(f"fleet {component.name}, {call.__name__}", traceback.format_exc())
+            self.hub.report_error(f"fleet {component.name}, {call.__name__}", traceback.format_exc())
             return
         self.execute(component, effects)
 
@@ -311,7 +311,7 @@
             call(*args)
         except ValueError as why:
             self.faults += 1
-            self.hub.report(f"fleet {component.name}: {why}")
+            self.hub.report_error(f"fleet {component.name}: {why}")
 
     def _on_fact(self, component: Component, fact: Any) -> None:
         if component.name == "authority" and isinstance(fact, Agreed):
@@ -323,7 +323,7 @@
             self.on_fact(component.name, fact)
         except Exception:
             self.faults += 1
-            self.hub.report(f"fleet {component.name}: handling a fact", traceback.format_exc())
+            self.hub.report_error(f"fleet {component.name}: handling a fact", traceback.format_exc())
 
     # ---- signals, counters ----------------------------------------------------------------------------
 
