--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -47,7 +47,7 @@
         self.faults = 0
         self.max_engines = MAX_ENGINES  # in the list: it bounds the memory
         self.send_gossip: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
-        self.answer_cache: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
+        self.answer_cache: Any = None  # `fleet.kept.front.AnswerCache`, if answers are cached or purged
         self.fleet_feed: Any = None  # `fleet.request_feed.RequestFeed`, which counts arrivals and ends
 
     def run(self) -> None:
@@ -104,7 +104,7 @@
         return True
 
     def _on_wait_expired(self, tired: books.WaitExpired) -> None:
-        if self.answer_cache.tired(tired.client_request) and tired.client_request.open:
+        if self.answer_cache.stop_waiting(tired.client_request) and tired.client_request.open:
             self._start_request(tired.client_request)
 
     def _start_request(self, request: ClientRequest) -> None:
@@ -163,7 +163,7 @@
         if freed is not None:
             for other in freed.served:
                 self._final(other, Served(end.result))
-            for other in freed.go_on:
+            for other in freed.to_send:
                 self._start_request(other)
 
     def _on_note(self, note: books.AttemptNoted) -> None:
