--- a/tests/test_starttimes.py
+++ b/tests/test_starttimes.py
@@ -18,7 +18,7 @@
 WALL_READERS = {
     "aspenrill/starttimes.py",
     "aspenrill/net/wallclock.py",
-    "aspenrill/fleet/parts.py",
+    "aspenrill/fleet/components.py",
     "aspenrill/fleet/service.py",
 }  # a bound, the log, the hour of UTC, an incarnation
 WALL_CALLS = {"time", "time_ns", "localtime", "gmtime", "ctime", "strftime"}
