--- a/aspenrill/__init__.py
+++ b/aspenrill/__init__.py
@@ -1,1 +1,1 @@
-"""aspenrill: the decisions of a gateway that keeps short and long queries apart on shared engines."""
+"""aspenrill: a front end for shared query engines that keeps short and long queries apart."""
--- a/aspenrill/__main__.py
+++ b/aspenrill/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one real front end."""
+"""Entry point of `python -m aspenrill`: runs one front end."""
 
 import sys
 
--- a/aspenrill/application.py
+++ b/aspenrill/application.py
@@ -1,4 +1,4 @@
-"""An application's file: where its front listens, whom it serves as what, where its engines come from."""
+"""Reads an application's file: listener, classes, tenants, logins, engines and limits."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .wire import Malformed, dns
 
 EFFECTS = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
-KEYS = ("none", "comment", "batch")
-LONGEST = 86_400_000  # a day in milliseconds: a time-out beyond is a slip
+KEY_SOURCES = ("none", "comment", "batch")
+MAX_MS = 86_400_000  # one day in milliseconds; a longer time-out is taken for a mistake
 
 
 @dataclass(frozen=True)
 class Application:
-    """A file that has been checked."""
+    """A checked application file."""
 
     name: str
     enabled: bool
@@ -26,12 +26,12 @@
     answer_bytes: int
     classes: tuple[str, ...] = ()
     tenants: tuple[str, ...] = ()
-    settings: api.Settings | None = None  # None: the platform's
+    settings: api.Settings | None = None  # None: those of the platform
     logins: tuple[Mapping, ...] = ()
     source: str = "platform"
-    sources: sources.Sources | None = None  # None: the platform's
+    sources: sources.Sources | None = None  # None: those of the platform
     domain: str = ""
-    instance_host: str = ""
+    dns_host: str = ""
     user: str = "aspenrill"
     app: str = "aspenrill"
     kinds: tuple[str, ...] = ()
@@ -39,50 +39,52 @@
     connect_for: float = 0.25
     memory_mb: int = 192
     sockets: int = 1024
-    fleet: dict[str, Any] | None = None  # the table, not read yet; None: off
+    fleet: dict[str, Any] | None = None  # the unread table; None if disabled
 
 
-def _class(row: Reader) -> tuple[str, api.QueryClass]:
+def _read_class(row: Reader) -> tuple[str, api.QueryClass]:
     name = row.text("name")
     spec = api.QueryClass(
-        aim=row.number("wanted_ms", None, 1, LONGEST) / 1000,
-        patience=row.number("give_up_ms", None, 1, LONGEST) / 1000,
+        aim=row.number("wanted_ms", None, 1, MAX_MS) / 1000,
+        patience=row.number("give_up_ms", None, 1, MAX_MS) / 1000,
         effect=EFFECTS[row.choice("effect", tuple(EFFECTS), "repeatable")],
         worth=row.number("worth", 1.0, 0.001),
         late_worth=row.number("late_worth", 0.0, 0, 1),
         aim_stretch=row.number("stretch", 0.0, 0, 1000),
-        dedup_window=row.number("repeat_window_ms", 0, 0, LONGEST) / 1000,
+        dedup_window=row.number("repeat_window_ms", 0, 0, MAX_MS) / 1000,
         threads=int(row.number("threads", 1, 1, 1024)),
         is_load=row.flag("load", False),
     )
     if spec.aim > spec.patience:
         row.fault("wanted_ms", "must not be beyond give_up_ms")
     if spec.effect is api.Effect.KEYED and not spec.dedup_window:
-        row.fault("repeat_window_ms", "missing; for how long engines drop a repeat of a key")
+        row.fault("repeat_window_ms", "missing; expected the time for which engines drop a repeat of a key")
     row.end()
     return name, spec
 
 
-def _login(row: Reader, classes: tuple[str, ...], keyed: list[bool], tenants: tuple[str, ...]) -> Mapping:
+def _read_login(
+    row: Reader, classes: tuple[str, ...], keyed: list[bool], tenants: tuple[str, ...]
+) -> Mapping:
     cls = row.choice("class", classes)
-    key = row.choice("key", KEYS, "none")
+    key = row.choice("key", KEY_SOURCES, "none")
     if cls in classes and keyed[classes.index(cls)] and key == "none":
-        row.fault("key", f"class {cls} repeats by key: comment or batch is wanted")
+        row.fault("key", f"class {cls} repeats by key: expected comment or batch")
     tenant = row.choice("tenant", tenants) if tenants else ""
     mapping = Mapping(
         row.text("user").lower(),
         row.text("app", "*").lower(),
         classes.index(cls) if cls in classes else 0,
         tenants.index(tenant) if tenant in tenants else 0,
-        row.number("timeout_ms", None, 1, LONGEST) / 1000,
+        row.number("timeout_ms", None, 1, MAX_MS) / 1000,
         key,
     )
     row.end()
     return mapping
 
 
-def _engines(top: Reader, platform: bool) -> dict[str, Any]:
-    """Where the engines come from, and how they are spoken to."""
+def _read_engines(top: Reader, platform: bool) -> dict[str, Any]:
+    """Read [engines]: login, time-outs, kinds and sources. `platform`: the platform may be the source."""
     row = top.table_of("engines")
     found: dict[str, Any] = {
         "user": row.text("user", "aspenrill"),
@@ -99,7 +101,7 @@
     names = tuple(k[0] for k in kinds)
     unique(row, "kind", list(names))
     if not kinds:
-        row.fault("kind", "at least one [[engines.kind]] is wanted")
+        row.fault("kind", "expected at least one [[engines.kind]]")
     if platform and "source" not in top.table and row.table.get("source") == "platform":
         row.seen.add("source")
         found["source"] = "platform"
@@ -119,9 +121,10 @@
     text: str,
     platform: tuple[list[str], list[bool], list[str]] | None = None,
 ) -> tuple[Application | None, list[str]]:
-    """The application of a file's text, or None, and all that is wrong with it, each fault by its field.
+    """Parse the text of a file. Returns the application, None if there are faults, and the faults by field.
 
-    `platform` names classes, which of them are keyed, and tenants where the file adds a front to a node.
+    `platform`: if the file adds a listener to a platform node, its classes, which of them are keyed, and its
+    tenants.
     """
     faults: list[str] = []
     try:
@@ -137,7 +140,7 @@
             _ = value and dns.name_of(value)
         except Malformed as why:
             top.fault(label, str(why))
-    classes = [_class(row) for row in top.tables("class")]
+    classes = [_read_class(row) for row in top.tables("class")]
     tenants = []
     for row in top.tables("tenant"):
         tenants.append((row.text("name"), row.number("per_s", 1e9, 0.001)))
@@ -146,31 +149,31 @@
     keyed = [c[1].effect is api.Effect.KEYED for c in classes]
     unique(top, "class", list(names))
     unique(top, "tenant", list(tenant_names))
-    more: dict[str, Any] = {"source": "platform"}
+    engine_settings: dict[str, Any] = {"source": "platform"}
     settings = None
     if "engines" in top.table or platform is None:
-        more = _engines(top, platform is not None)
-    if more["source"] == "platform":
+        engine_settings = _read_engines(top, platform is not None)
+    if engine_settings["source"] == "platform":
         if classes or tenants:
-            top.fault("class", "classes and tenants are the platform's")
+            top.fault("class", "classes and tenants are defined by the platform")
         if platform is not None:
             names, keyed, tenant_names = tuple(platform[0]), platform[1], tuple(platform[2])
     elif not classes:
-        top.fault("class", "at least one [[class]] is wanted")
-    logins = [_login(row, names, keyed, tenant_names) for row in top.tables("login")]
+        top.fault("class", "expected at least one [[class]]")
+    logins = [_read_login(row, names, keyed, tenant_names) for row in top.tables("login")]
     unique(top, "login", [(m.user, m.app) for m in logins])
     if not logins:
-        top.fault("login", "at least one [[login]] is wanted")
+        top.fault("login", "expected at least one [[login]]")
     rules = top.table_of("rules")
-    settings_more = {
+    rule_settings = {
         "gateways": int(rules.number("front_ends", 1, 1, 65536)),
         "most_attempts": int(rules.number("most_attempts", 3, 1, 100)),
         "start_capacity": rules.number("start_capacity", 0.3, 0.01, 1),
-        "cold_for": rules.number("cold_ms", 12000, 0, LONGEST) / 1000,
+        "cold_for": rules.number("cold_ms", 12000, 0, MAX_MS) / 1000,
         "fall_multiple": rules.number("fall_multiple", 2.5, 0.1, 100),
-        "fall_window": rules.number("fall_ms", 1500, 0, LONGEST) / 1000,
+        "fall_window": rules.number("fall_ms", 1500, 0, MAX_MS) / 1000,
     }
-    settings_more["me"] = int(rules.number("front_end", 1, 1, settings_more["gateways"])) - 1
+    rule_settings["me"] = int(rules.number("front_end", 1, 1, rule_settings["gateways"])) - 1
     rules.end()
     limits = top.table_of("limits")
     memory, sockets = (
@@ -182,16 +185,16 @@
     top.end()
     if faults:
         return None, faults
-    if more["source"] != "platform":
+    if engine_settings["source"] != "platform":
         settings = api.Settings(
             classes=tuple(c[1] for c in classes),
-            cores_by_kind=more.pop("cores"),
-            memory_by_kind=tuple(m or float("inf") for m in more.pop("memory")),
+            cores_by_kind=engine_settings.pop("cores"),
+            memory_by_kind=tuple(m or float("inf") for m in engine_settings.pop("memory")),
             may_cancel=True,
             may_probe=True,
             longest_come_back=2.0,
             tenant_quotas=tuple(t[1] for t in tenants),
-            **settings_more,
+            **rule_settings,
         )
     return Application(
         name,
@@ -203,9 +206,9 @@
         settings,
         tuple(logins),
         domain=domain,
-        instance_host=host,
+        dns_host=host,
         memory_mb=memory,
         sockets=sockets,
         fleet=fleet if fleet.get("enabled") is True else None,
-        **{k: v for k, v in more.items() if k not in ("cores", "memory")},
+        **{k: v for k, v in engine_settings.items() if k not in ("cores", "memory")},
     ), []
--- a/aspenrill/gathering.py
+++ b/aspenrill/gathering.py
@@ -1,4 +1,4 @@
-"""Sources as configured, at work: resolvers, followers and the merged list, and how they change by SIGHUP."""
+"""Source setup: starts resolvers and watchers for the configured sources, and changes them on SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from .roster.dnssd import DnsSd
 from .roster.srv import Srv
 from .roster.watcher import DnsWatcher
-from .sources import ResolverSpec, Sources, SourceSpec, policy_of
+from .sources import ResolverSpec, Sources, SourceSpec, address_policy
 
 
 class Gathering:
-    """Starts what the sources need, and changes it when they do."""
+    """Starts the watchers and resolvers of the sources, and applies changes of their configuration."""
 
     def __init__(
         self,
@@ -31,40 +31,43 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.hub, self.kinds, self.sources = hub, kinds, sources
-        self.membership = Membership(sources.rules, sources.specs, clock(), policy_of(sources))
+        self.membership = Membership(sources.rules, sources.specs, clock(), address_policy(sources))
         self.roster = EngineDiscovery(hub, clock, self.membership, post, most_engines)
         self.resolvers: dict[ResolverSpec, Resolver] = {}
         for source in sources.sources:
-            self._begin(source)
+            self._start(source)
 
     def bulletin(self, news: News) -> None:
-        """What the bulletin tells, where it is one of the sources."""
+        """Apply an update of the bulletin if it is one of the sources."""
         for source in self.sources.sources:
             if source.type == "bulletin":
                 self.roster.bulletin_handler(source.name)(news)
 
     def change(self, sources: Sources) -> None:
-        """Other sources, order, resolvers or rules: engines, and what runs there, stay as they are as long as
-        somebody names them. A source that has not changed goes on, as does a resolver with what it knows."""
-        before, self.sources = self.sources, sources
-        old = {source.name: (source, self._resolver_of(before, source)) for source in before.sources}
-        self.membership.configure(self.roster.clock(), sources.specs, sources.rules, policy_of(sources))
+        """Apply other sources, order, resolvers or rules.
+
+        An engine and its running requests are kept while at least one source names it. A source that has not
+        changed keeps its watcher, a resolver its cache.
+        """
+        previous, self.sources = self.sources, sources
+        old = {source.name: (source, self._resolver_of(previous, source)) for source in previous.sources}
+        self.membership.configure(self.roster.clock(), sources.specs, sources.rules, address_policy(sources))
         names = {source.name for source in sources.sources}
-        for source in before.sources:
+        for source in previous.sources:
             if source.name not in names:
                 self.roster.stop_source(source.name)
         for source in sources.sources:
             if source.type == "list" or old.get(source.name) != (source, self._resolver_of(sources, source)):
-                self._begin(source)
+                self._start(source)
         used = {self._resolver_of(sources, source) for source in sources.sources}
-        self.resolvers = {spec: one for spec, one in self.resolvers.items() if spec in used}
+        self.resolvers = {spec: resolver for spec, resolver in self.resolvers.items() if spec in used}
         self.roster.publish_changes()
 
     @staticmethod
     def _resolver_of(sources: Sources, source: SourceSpec) -> ResolverSpec | None:
         return sources.resolver(source.resolver) if source.resolver else None
 
-    def _begin(self, source: SourceSpec) -> None:
+    def _start(self, source: SourceSpec) -> None:
         if source.type == "list":
             self.roster.stop_source(source.name)
             self.roster.on_list(source.name, source.engines)
--- a/aspenrill/members.py
+++ b/aspenrill/members.py
@@ -1,4 +1,4 @@
-"""The list of engines as every source tells it and the owner hears it: plain records, no decisions."""
+"""Records of the list of engines, which sources report and the owner applies."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One engine as the list names it.
+    """An entry of the list of engines.
 
-    `started` is 0 where it started long ago, else Unix seconds as a source stamps it, and seconds of the
-    monotonic clock behind `starttimes.StartTimes`.
+    `started` is 0 if the engine started long ago. Otherwise it is in Unix seconds, as sources report it;
+    `starttimes.StartTimes` converts it to seconds of the monotonic clock.
 
-    `priority` and `weight` are those of its SRV record (RFC 2782); None says nothing of its share.
+    `priority` and `weight` come from its SRV record (RFC 2782); a weight of None means no stated share.
     """
 
     engine: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """One numbered event; `whole` where it is the complete list."""
+    """A numbered list update; `whole`: it is the complete list, not a change."""
 
     number: int
     whole: bool
--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -1,4 +1,4 @@
-"""One real front end, put together from its configuration: a node of the platform."""
+"""Builds a front end from its configuration: the parts common to all, and a node of the platform."""
 
 from __future__ import annotations
 
@@ -32,16 +32,27 @@
 from .wire import Malformed
 from .wire.bulletin import json_news
 
-CLIENT_SHARE, ENGINE_SHARE = 0.4, 0.5  # of the descriptors; the rest is for listeners, files and probes
-IDLE_MARGIN, LEAST_IDLE = 2.0, 1.0  # seconds by which a pooled connection is closed before the engine would
-TAKING = 0.65  # seconds after SIGTERM in which requests are taken; by the protocol they come for up to 0.6 s
-KILL_AFTER, LONGEST = 0.7, 3.0  # seconds behind the longest deadline, LONGEST at most, to a SIGKILL
-ANSWERED, ENDED = 0.3, 0.1  # seconds before it by which all has its answer, and by which the process ends
-BASE_MB, ENGINE_KB = 26, 5  # memory without engines, and of one with its part of the list's text
-LEAST_LIST = 2048  # engines that are taken at any limit: 26 MB in all
-NEWS_DELAY = 7.0  # seconds after which the bulletin counts as having told, by the protocol
+# Shares of the file descriptors for client and engine connections; the remaining 10% is for listeners, files
+# and probes.
+CLIENT_DESCRIPTOR_SHARE = 0.4
+ENGINE_DESCRIPTOR_SHARE = 0.5
+IDLE_MARGIN = 2.0  # seconds: a pooled connection is closed this long before the engine would close it
+MIN_IDLE_TIMEOUT = 1.0  # seconds
+ACCEPT_AFTER_SIGTERM = 0.65  # seconds; by the protocol, requests arrive for up to 0.6 s after SIGTERM
+# SIGKILL comes KILL_AFTER seconds after the longest deadline, which counts with MAX_DEADLINE_WAIT seconds at
+# most.
+KILL_AFTER = 0.7
+MAX_DEADLINE_WAIT = 3.0
+ANSWER_MARGIN = 0.3  # seconds before SIGKILL by which every request has its answer
+EXIT_MARGIN = 0.1  # seconds before SIGKILL by which the process ends
+BASE_MEMORY_MB = 26  # memory of the process without engines
+ENGINE_MEMORY_KB = 5  # memory of one engine, with its entry in the text of the list
+MIN_LIST_LIMIT = 2048  # engines that are accepted under any memory limit; at 26 MB
+MAX_BULLETIN_DELAY = 7.0  # seconds within which the bulletin delivers an event, by the protocol
 DEPLOY = Path(__file__).resolve().parent.parent / "deploy"
-TDS_FILE, SOURCES_FILE, FLEET_FILE = DEPLOY / "tds.toml", DEPLOY / "sources.toml", DEPLOY / "fleet.toml"
+TDS_FILE = DEPLOY / "tds.toml"
+SOURCES_FILE = DEPLOY / "sources.toml"
+FLEET_FILE = DEPLOY / "fleet.toml"
 
 
 class ConfigError(Exception):
@@ -50,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """What a front end is told, read and checked."""
+    """A checked configuration of a platform node."""
 
     name: str
     listen: tuple[str, int]
@@ -58,8 +69,8 @@
     sockets: int
     most_engines: int
     bulletin: tuple[str, int]
-    known: tuple[News, ...]
-    last: int
+    initial_updates: tuple[News, ...]
+    last_event: int
     settings: api.Settings
     classes: list[str]
     tenants: list[str]
@@ -69,7 +80,7 @@
 
 
 def address(text: Any, name: str) -> tuple[str, int]:
-    """HOST:PORT with a numeric host."""
+    """Parse HOST:PORT with a numeric host. Raises ConfigError with the name of the field."""
     try:
         return addresses.parse(str(text))
     except ValueError:
@@ -77,29 +88,29 @@
 
 
 def read_config(env: Mapping[str, str], pause: Callable[[float], None] = time.sleep) -> Config:
-    """The configuration that NODE_CONFIG names; ConfigError names the field that is wrong.
+    """Read the file that NODE_CONFIG names. Raises ConfigError with the name of the invalid field.
 
-    `pause` waits between two tries where the system has no descriptor for the file.
+    `pause` waits between two tries if no file descriptor is available.
     """
     path = env.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG: not set")
     try:
-        told = json.loads(retry(lambda: Path(path).read_text(encoding="utf-8"), READ_FOR, pause))
+        document = json.loads(retry(lambda: Path(path).read_text(encoding="utf-8"), READ_FOR, pause))
     except (OSError, ValueError) as why:
         raise ConfigError(f"NODE_CONFIG: {why}") from None
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         raise ConfigError("NODE_CONFIG: expected an object")
 
-    def want(name: str, kind: type) -> Any:
-        value: Any = told
+    def require(name: str, expected_type: type) -> Any:
+        value: Any = document
         for part in name.split("."):
             value = value.get(part) if isinstance(value, dict) else None
-        if not isinstance(value, kind) or isinstance(value, bool):
+        if not isinstance(value, expected_type) or isinstance(value, bool):
             raise ConfigError(f"{name}: " + ("missing" if value is None else f"cannot be {value!r}"))
         return value
 
-    info = want("settings", dict)
+    info = require("settings", dict)
     try:
         settings = settings_from(info)
         settings.validate()
@@ -113,39 +124,39 @@
         raise ConfigError(f"settings: {why.args[0]}: missing or not known") from None
     except (TypeError, ValueError, AttributeError) as why:
         raise ConfigError(f"settings: {why}") from None
-    limits_told = told.get("limits") if isinstance(told.get("limits"), dict) else {}
-    memory = limits_told.get("memory_mb", 192)
+    limits_table = document.get("limits") if isinstance(document.get("limits"), dict) else {}
+    memory = limits_table.get("memory_mb", 192)
     if not isinstance(memory, (int, float)) or isinstance(memory, bool) or not 0 < memory < 1 << 20:
         raise ConfigError(f"limits.memory_mb: cannot be {memory!r}")
-    most = max(LEAST_LIST, int((memory - BASE_MB) * 1024 / ENGINE_KB))
-    want("known.no", int)
-    known = []
-    for at, item in enumerate(want("known.items", list)):
+    max_engines = max(MIN_LIST_LIMIT, int((memory - BASE_MEMORY_MB) * 1024 / ENGINE_MEMORY_KB))
+    require("known.no", int)
+    initial_updates = []
+    for index, item in enumerate(require("known.items", list)):
         try:
-            known.append(json_news(item, info.get("areas") or [], info.get("kinds") or []))
+            initial_updates.append(json_news(item, info.get("areas") or [], info.get("kinds") or []))
         except Malformed as why:
-            raise ConfigError(f"known.items[{at}]: {why}") from None
-        if (count := len(known[-1].members)) > most:
+            raise ConfigError(f"known.items[{index}]: {why}") from None
+        if (count := len(initial_updates[-1].members)) > max_engines:
             raise ConfigError(
-                f"known.items[{at}]: a list of {count} engines, limits.memory_mb {memory} "
-                f"takes {most} at most"
+                f"known.items[{index}]: a list of {count} engines, limits.memory_mb {memory} "
+                f"takes {max_engines} at most"
             )
     try:
-        seed = int(str(told.get("seed", "0")), 16)
+        seed = int(str(document.get("seed", "0")), 16)
     except ValueError:
-        raise ConfigError(f"seed: expected hex digits, got {told['seed']!r}") from None
-    sockets = limits_told.get("sockets", 1024)
+        raise ConfigError(f"seed: expected hex digits, got {document['seed']!r}") from None
+    sockets = limits_table.get("sockets", 1024)
     if not isinstance(sockets, int) or sockets < 32:
         raise ConfigError(f"limits.sockets: expected 32 or more, got {sockets!r}")
     return Config(
-        name=env.get("NODE_NAME") or str(told.get("name", "")),
-        listen=address(env.get("NODE_LISTEN") or want("listen", str), "listen"),
+        name=env.get("NODE_NAME") or str(document.get("name", "")),
+        listen=address(env.get("NODE_LISTEN") or require("listen", str), "listen"),
         seed=seed,
         sockets=sockets,
-        most_engines=most,
-        bulletin=address(want("bulletin", str), "bulletin"),
-        known=tuple(known),
-        last=told["known"]["no"],
+        most_engines=max_engines,
+        bulletin=address(require("bulletin", str), "bulletin"),
+        initial_updates=tuple(initial_updates),
+        last_event=document["known"]["no"],
         settings=settings,
         classes=classes,
         tenants=tenants,
@@ -156,7 +167,7 @@
 
 
 class Node:
-    """Owner, fronts and engines of one front end. `make` builds the side that speaks to engines."""
+    """Owner, listeners and engine connections of one front end. `make_engines` builds the engine protocol."""
 
     def __init__(
         self,
@@ -166,30 +177,34 @@
         sockets: int,
         idle_for: float,
         connect_for: float,
-        make: Callable[[Pools, Callable[[Any], None]], Engines],
-        greet: Callable[[Connection, float], None] | None = None,
+        make_engines: Callable[[Pools, Callable[[Any], None]], Engines],
+        handshake: Callable[[Connection, float], None] | None = None,
     ) -> None:
         self.hub, self.settings = hub, settings
         self.sockets = min(sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.pools = Pools(
-            hub, int(self.sockets * ENGINE_SHARE), max(LEAST_IDLE, idle_for - IDLE_MARGIN), connect_for, greet
+            hub,
+            int(self.sockets * ENGINE_DESCRIPTOR_SHARE),
+            max(MIN_IDLE_TIMEOUT, idle_for - IDLE_MARGIN),
+            connect_for,
+            handshake,
         )
-        self.owner = Owner(hub, settings, seed, make(self.pools, self.post))
+        self.owner = Owner(hub, settings, seed, make_engines(self.pools, self.post))
         self.fronts: list[tuple[Any, Listener]] = []
-        self.reread: Callable[[], None] = lambda: None  # what SIGHUP does; ConfigError where it cannot
-        self.fleet_facts: Any = None  # the latest `fleet.overload.facts.Facts`, where the fleet has that part
-        self.goodbye: Callable[[], None] = lambda: None  # to the other front ends, where there are some
+        self.read_again: Callable[[], None] = lambda: None  # called on SIGHUP; raises ConfigError
+        self.fleet_facts: Any = None  # the latest `fleet.overload.facts.Facts`, if that component is enabled
+        self.goodbye: Callable[[], None] = lambda: None  # notifies the other front ends, if any
         hub.spawn(self.owner.run, name="owner")
         hub.spawn(watch_wall_clock, hub, name="wall clock")
 
     def post(self, event: Any) -> None:
-        """The only way to the owner."""
+        """Put an event into the owner's queue, the only way to reach it."""
         self.owner.queue.put(event)
 
     def listen(
-        self, address: tuple[str, int], service: Any, name: str, share: float = CLIENT_SHARE
+        self, address: tuple[str, int], service: Any, name: str, share: float = CLIENT_DESCRIPTOR_SHARE
     ) -> Listener:
-        """Open a front."""
+        """Open a listener for a client protocol. `share`: of the file descriptors."""
         listener = retry(
             lambda: Listener(self.hub, address, service.serve, int(self.sockets * share), name), START_FOR
         )
@@ -197,43 +212,45 @@
         return listener
 
     def reload(self) -> None:
-        """After SIGHUP: the configuration anew, or the old one where it cannot be used."""
+        """Read the configuration again after SIGHUP; keep the old one if the new one is invalid."""
         try:
-            self.reread()
+            self.read_again()
         except ConfigError as why:
             self.hub.log(f"configuration not taken, the old one stays: {why}")
         else:
             self.hub.log("configuration read again")
 
     def leave(self) -> None:
-        """After SIGTERM, a graceful shutdown: take what still comes, then refuse it; answer everything, drain
-        the connections, end before SIGKILL.
+        """Shut down after SIGTERM: accept requests for a while, then refuse them, answer all, drain the
+        connections and end before SIGKILL.
 
-        Clients may use their connections until then, and what they send may be on its way for long: none is
-        ended before the last moments. The signal may have waited for as long as this program stood still.
+        Clients may use their connections until then, and requests may still be on their way, so no connection
+        is closed before EXIT_MARGIN. The signal may have been pending for as long as the event loop lagged.
         """
         began = time.monotonic() - self.hub.lag()
         self.owner.well = False
         self.hub.log("leaving")
-        kill_at = began + min(max(c.patience for c in self.settings.classes), LONGEST) + KILL_AFTER
-        self.hub.sleep(TAKING)
+        sigkill_at = (
+            began + min(max(c.patience for c in self.settings.classes), MAX_DEADLINE_WAIT) + KILL_AFTER
+        )
+        self.hub.sleep(ACCEPT_AFTER_SIGTERM)
         self.owner.taking = False
         for _, listener in self.fronts:
             listener.stop_accepting()
-        self._drained(kill_at - ANSWERED)
+        self._wait_for_clients(sigkill_at - ANSWER_MARGIN)
         self.post(Closing())
-        self.hub.sleep(0.0)  # the owner answers what is open
+        self.hub.sleep(0.0)  # lets the owner answer the open requests
         for _, listener in self.fronts:
             listener.drain()
-        self._drained(kill_at - ENDED)
+        self._wait_for_clients(sigkill_at - EXIT_MARGIN)
         for _, listener in self.fronts:
             listener.close_all("the program ends")
         self.goodbye()
         self.hub.log(f"left with {len(self.owner.open)} requests open")
         self.hub.stop()
 
-    def _drained(self, until: float) -> None:
-        """Wait until no client has a connection any more, or that moment of the monotonic clock."""
+    def _wait_for_clients(self, until: float) -> None:
+        """Wait until no client is connected, or until that time of the monotonic clock."""
         while any(listener.open or listener.connections for _, listener in self.fronts) and (
             time.monotonic() < until
         ):
@@ -247,8 +264,11 @@
     sources_file: Path = SOURCES_FILE,
     fleet_file: Path = FLEET_FILE,
 ) -> Node:
-    """A node of the platform: Thrift before it, HTTP engines behind it; TDS too, further sources of engines,
-    and a fleet of front ends that know of each other, where their files say so."""
+    """Build a node of the platform, with Thrift clients and HTTP engines.
+
+    Three files enable optional features: a TDS listener, further sources of engines, and the fleet of front
+    ends, which exchange messages.
+    """
     config = read_config(env)
     node = Node(
         hub,
@@ -260,17 +280,17 @@
         lambda pools, post: HttpEngines(hub, pools, config.settings, config.classes, post),
     )
     node.owner.most_engines = config.most_engines
-    gathering = _more_sources(hub, node, sources_file, config.kinds)
-    starts = StartTimes(config.most_engines, min(NEWS_DELAY, config.settings.cold_for / 2))
+    source_setup = _start_sources(hub, node, sources_file, config.kinds)
+    start_times = StartTimes(config.most_engines, min(MAX_BULLETIN_DELAY, config.settings.cold_for / 2))
 
-    def hear(news: News, tell: Callable[[Any], None]) -> None:
-        if gathering is None:
-            tell(starts.news(time.monotonic(), news))
+    def on_bulletin_update(news: News, deliver: Callable[[Any], None]) -> None:
+        if source_setup is None:
+            deliver(start_times.convert_update(time.monotonic(), news))
         else:
-            gathering.bulletin(news)
+            source_setup.bulletin(news)
 
-    for news in config.known:
-        hear(news, node.owner.take)
+    for news in config.initial_updates:
+        on_bulletin_update(news, node.owner.take)
     keyed = [c.effect is api.Effect.KEYED for c in config.settings.classes]
     node.listen(
         config.listen,
@@ -286,28 +306,32 @@
         ),
         "thrift",
     )
-    _extra_front(hub, node, tds_file, (config.classes, keyed, config.tenants))
+    _start_tds_front(hub, node, tds_file, (config.classes, keyed, config.tenants))
     bulletin = BulletinWatcher(
-        hub, config.bulletin, config.last, lambda news: hear(news, node.post), config.most_engines
+        hub,
+        config.bulletin,
+        config.last_event,
+        lambda news: on_bulletin_update(news, node.post),
+        config.most_engines,
     )
     bulletin.start()
-    regroup = _fleet(hub, node, fleet_file, config.classes, config.tenants)
+    reload_fleet = _fleet(hub, node, fleet_file, config.classes, config.tenants)
 
-    def reread() -> None:
+    def read_again() -> None:
         now = read_config(env, hub.sleep)
         if (now.settings, now.listen, now.sockets) != (config.settings, config.listen, config.sockets):
             hub.log("configuration: settings, listen and limits take effect at the next start")
-        if gathering is not None:
-            gathering.change(_sources(sources_file, config.kinds) or gathering.sources)
+        if source_setup is not None:
+            source_setup.change(_read_sources(sources_file, config.kinds) or source_setup.sources)
         bulletin.move(now.bulletin)
-        regroup()
+        reload_fleet()
 
-    node.reread = reread
+    node.read_again = read_again
     return node
 
 
-def _enabled(path: Path) -> str | None:
-    """The text of a file that switches something on; None where it is off, or not there."""
+def _read_if_enabled(path: Path) -> str | None:
+    """The text of a file that enables a feature; None if it has `enabled = false` or does not exist."""
     try:
         text = retry(lambda: path.read_text(encoding="utf-8"), READ_FOR)
         return text if tomllib.loads(text).get("enabled") is True else None
@@ -317,9 +341,11 @@
         raise ConfigError(f"{path.name}: {why}") from None
 
 
-def _extra_front(hub: Hub, node: Node, path: Path, names: tuple[list[str], list[bool], list[str]]) -> None:
-    """The TDS front of a platform node, where its file has it on. What it needs is imported only then."""
-    text = _enabled(path)
+def _start_tds_front(
+    hub: Hub, node: Node, path: Path, names: tuple[list[str], list[bool], list[str]]
+) -> None:
+    """Start the TDS listener of a platform node if its file enables it; only then import its modules."""
+    text = _read_if_enabled(path)
     if text is not None:
         from . import application
         from .fronts import tds
@@ -333,18 +359,18 @@
 def _fleet(
     hub: Hub, node: Node, path: Path, classes: Sequence[str] = (), tenants: Sequence[str] = ()
 ) -> Callable[[], None]:
-    """The other front ends, where the file has them on; what it gives reads the file again."""
-    text = _enabled(path)
+    """Join the fleet if its file enables it. Returns the function that reads the file again."""
+    text = _read_if_enabled(path)
     if text is None:
         return lambda: None
     from .fleet.joining import join
 
-    return join(hub, node, lambda: tomllib.loads(_enabled(path) or ""), "", classes, tenants)
+    return join(hub, node, lambda: tomllib.loads(_read_if_enabled(path) or ""), "", classes, tenants)
 
 
-def _sources(path: Path, kinds: list[str]) -> Any:
-    """The further sources of a platform node, None where its file has them off."""
-    text = _enabled(path)
+def _read_sources(path: Path, kinds: list[str]) -> Any:
+    """Read the further sources of a platform node; None if their file does not enable them."""
+    text = _read_if_enabled(path)
     if text is None:
         return None
     from . import sources
@@ -355,9 +381,9 @@
     return found
 
 
-def _more_sources(hub: Hub, node: Node, path: Path, kinds: list[str]) -> Any:
-    """The merged list of a platform node's sources at work, None where its file has them off."""
-    found = _sources(path, kinds)
+def _start_sources(hub: Hub, node: Node, path: Path, kinds: list[str]) -> Any:
+    """Start the further sources of a platform node; None if their file does not enable them."""
+    found = _read_sources(path, kinds)
     if found is None:
         return None
     from .gathering import Gathering
--- a/aspenrill/sidecar.py
+++ b/aspenrill/sidecar.py
@@ -1,4 +1,4 @@
-"""One application's front, put together from its file: TDS before it, TDS engines behind it."""
+"""Builds an application's sidecar from its file, with TDS clients and TDS engines."""
 
 from __future__ import annotations
 
@@ -18,13 +18,17 @@
 
 
 def _application(path: str, pause: Callable[[float], None] = time.sleep) -> application.Application:
-    """An application's file; ConfigError names its first fault. `pause`: see `read_config`."""
+    """Read an application's file. Raises ConfigError with its first fault. `pause`: see `read_config`."""
     try:
         app, faults = application.read(retry(lambda: Path(path).read_text(encoding="utf-8"), READ_FOR, pause))
     except (OSError, ValueError) as why:
         raise ConfigError(f"{path}: {why}") from None
     if app is None:
-        more = f" (and {len(faults) - 1} more; the tool's check names them)" if faults[1:] else ""
+        more = (
+            f" (and {len(faults) - 1} more; `python -m aspenrill.tool check` lists them)"
+            if faults[1:]
+            else ""
+        )
         raise ConfigError(f"{path}: {faults[0]}{more}")
     return app
 
@@ -32,7 +36,7 @@
 def _fleet(
     hub: Hub, node: Node, app: application.Application, read: Callable[[], dict[str, Any]]
 ) -> Callable[[], None]:
-    """The other front ends, where [fleet] has them on; what it gives reads the table again."""
+    """Join the fleet if [fleet] enables it. Returns the function that reads the table again."""
     if app.fleet is None:
         return lambda: None
     from .fleet.joining import join
@@ -41,7 +45,7 @@
 
 
 def sidecar(hub: Hub, path: str) -> Node:
-    """A node for one application's file."""
+    """Build the front end that an application's file describes."""
     app = _application(path)
     node = Node(
         hub,
@@ -53,16 +57,16 @@
         lambda pools, post: TdsEngines(hub, pools, post, app.answer_bytes),
         logging_in(app.user, app.app),
     )
-    gathering, service = Gathering(hub, app.sources, app.kinds, node.post, node.owner.most_engines), None
+    source_setup, service = Gathering(hub, app.sources, app.kinds, node.post, node.owner.most_engines), None
     if app.enabled:
         service = tds.Service(hub, app.logins, node.post, app.name)
         node.listen(app.listen, service, "tds")
-    regroup = _fleet(hub, node, app, lambda: _application(path).fleet or {})
+    reload_fleet = _fleet(hub, node, app, lambda: _application(path).fleet or {})
 
-    def reread() -> None:
+    def read_again() -> None:
         nonlocal app
-        now = _application(path, hub.sleep)
-        if (now.settings, now.kinds, now.listen, now.enabled) != (
+        new_app = _application(path, hub.sleep)
+        if (new_app.settings, new_app.kinds, new_app.listen, new_app.enabled) != (
             app.settings,
             app.kinds,
             app.listen,
@@ -71,11 +75,11 @@
             raise ConfigError(
                 f"{path}: only logins, sources, resolvers and their rules can change without a new start"
             )
-        app = now
+        app = new_app
         if service is not None:
-            service.mappings = now.logins
-        gathering.change(now.sources)
-        regroup()
+            service.mappings = new_app.logins
+        source_setup.change(new_app.sources)
+        reload_fleet()
 
-    node.reread = reread
+    node.read_again = read_again
     return node
--- a/aspenrill/sources.py
+++ b/aspenrill/sources.py
@@ -1,7 +1,7 @@
-"""The sources of engines in a file: [[source]], [[resolver]], [membership], [tiers] and [addresses].
+"""Reads sources of engines from a file: [[source]], [[resolver]], [membership], [tiers] and [addresses].
 
-An application's file has them, or the older form with one source in [engines]; a platform node has a file of
-its own under deploy/.
+An application's file has these tables, or the older form with one source in [engines]. A platform node has a
+separate file under deploy/.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from .resolver.lookup import Patience
 from .wire import Malformed, dns
 
-TYPES = ("list", "dns-sd", "srv")
-FAMILIES = ("ipv4-first", "ipv6-first", "ipv4", "ipv6")
-DAY = 86400
+SOURCE_TYPES = ("list", "dns-sd", "srv")
+ADDRESS_FAMILIES = ("ipv4-first", "ipv6-first", "ipv4", "ipv6")
+DAY_S = 86400
 
 
 @dataclass(frozen=True)
 class ResolverSpec:
-    """Name servers in their order, and how patiently they are asked."""
+    """Name servers in order of preference, with the time-outs and cache lifetimes of their queries."""
 
     name: str
     servers: tuple[tuple[str, int], ...]
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True)
 class SourceSpec:
-    """One source. `engines` for a list; `service` and `resolver` for the others but the bulletin."""
+    """One source. A list has `engines`; dns-sd and srv have `service` and `resolver`; a bulletin has none."""
 
     name: str
     type: str
     spec: Spec
     resolver: str = ""
     service: str = ""
-    family: str = FAMILIES[0]
+    family: str = ADDRESS_FAMILIES[0]
     kind: int = 0
     zone: int = 0
     tier: int = 0
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Sources:
-    """All of it, checked. `allow` and `deny` are networks as written."""
+    """All checked tables. `allow` and `deny` are networks as written in the file."""
 
     sources: tuple[SourceSpec, ...]
     resolvers: tuple[ResolverSpec, ...] = ()
@@ -63,58 +63,61 @@
 
     @property
     def summary(self) -> str:
-        """The types of the sources in their order, for one line."""
+        """The types of the sources in order, separated by commas."""
         return ", ".join(source.type for source in self.sources)
 
     @property
     def specs(self) -> tuple[Spec, ...]:
-        """What the membership is told of them."""
+        """The specifications of the sources for the membership."""
         return tuple(source.spec for source in self.sources)
 
     def resolver(self, name: str) -> ResolverSpec:
-        """The resolver of a name."""
-        return next(one for one in self.resolvers if one.name == name)
+        """The resolver with that name."""
+        return next(spec for spec in self.resolvers if spec.name == name)
 
 
-def _resolver(row: Reader) -> ResolverSpec:
+def _read_resolver(row: Reader) -> ResolverSpec:
     name, servers = row.text("name", "default"), []
-    for at, text in enumerate(row.texts("servers")):
+    for index, text in enumerate(row.texts("servers")):
         servers.append(Reader({"at": text}, "", []).address("at"))
         if not servers[-1][1]:
-            row.fault(f"servers[{at}]", f"ADDRESS:PORT with a numeric address is wanted, got {text!r}")
+            row.fault(f"servers[{index}]", f"expected ADDRESS:PORT with a numeric address, got {text!r}")
     if not servers:
-        row.fault("servers", "at least one ADDRESS:PORT is wanted")
+        row.fault("servers", "expected at least one ADDRESS:PORT")
     unique(row, "servers", servers)
-    question = row.number("question_ms", 1000, 10, 60000) / 1000
-    lookup = row.number("lookup_ms", 5000, 10, 600000) / 1000
-    if lookup < question:
+    query_timeout = row.number("question_ms", 1000, 10, 60000) / 1000
+    lookup_timeout = row.number("lookup_ms", 5000, 10, 600000) / 1000
+    if lookup_timeout < query_timeout:
         row.fault("lookup_ms", "must not be below question_ms")
-    least, most = row.number("least_ttl_s", 1, 0.1, DAY), row.number("most_ttl_s", 3600, 0.1, 7 * DAY)
-    if most < least:
+    min_ttl, max_ttl = (
+        row.number("least_ttl_s", 1, 0.1, DAY_S),
+        row.number("most_ttl_s", 3600, 0.1, 7 * DAY_S),
+    )
+    if max_ttl < min_ttl:
         row.fault("most_ttl_s", "must not be below least_ttl_s")
     lifetimes = Lifetimes(
-        least,
-        most,
-        row.number("negative_ttl_s", 300, 0.1, DAY),
-        row.number("stale_s", DAY, 0, 30 * DAY),
+        min_ttl,
+        max_ttl,
+        row.number("negative_ttl_s", 300, 0.1, DAY_S),
+        row.number("stale_s", DAY_S, 0, 30 * DAY_S),
         max_entries=int(row.number("entries", 8192, 16, 1 << 20)),
     )
     row.end()
-    return ResolverSpec(name, tuple(servers), Patience(question, lookup), lifetimes)
+    return ResolverSpec(name, tuple(servers), Patience(query_timeout, lookup_timeout), lifetimes)
 
 
-def service_of(row: Reader) -> str:
-    """The name that a source asks for, checked."""
+def read_service(row: Reader) -> str:
+    """Read the DNS name of a source's service and check it."""
     text = row.text("service")
     try:
         if text and len(dns.name_of(text)) < 3:
-            row.fault("service", "a name like _tds._tcp.billing.example is wanted")
+            row.fault("service", "expected a name like _tds._tcp.billing.example")
     except Malformed as why:
         row.fault("service", str(why))
     return text
 
 
-def _listed(
+def _read_members(
     row: Reader, kinds: tuple[str, ...], tier: int, weight: float | None, zone: int
 ) -> tuple[Member, ...]:
     members = []
@@ -138,129 +141,131 @@
     return tuple(members)
 
 
-def _source(
+def _read_source(
     row: Reader, kinds: tuple[str, ...], resolvers: tuple[str, ...], types: tuple[str, ...]
 ) -> SourceSpec:
-    name, kind_of = row.text("name"), row.choice("type", types)
+    name, source_type = row.text("name"), row.choice("type", types)
     tier, zone = int(row.number("tier", 0, 0, 65535)), int(row.number("zone", 0, 0, 255))
-    shrink = row.number("shrink", 0.5 if kind_of in ("dns-sd", "srv") else 1.0, 0, 1)
-    spec = Spec(name, names_ids=kind_of != "srv", shrink=shrink)
-    if kind_of == "bulletin":
+    shrink = row.number("shrink", 0.5 if source_type in ("dns-sd", "srv") else 1.0, 0, 1)
+    spec = Spec(name, names_ids=source_type != "srv", shrink=shrink)
+    if source_type == "bulletin":
         row.end()
-        return SourceSpec(name, kind_of, spec)
-    if kind_of == "list":
+        return SourceSpec(name, source_type, spec)
+    if source_type == "list":
         weight = row.number("weight", 0, 0, 65535) if "weight" in row.table else None
-        engines = _listed(row, kinds, tier, weight, zone)
+        engines = _read_members(row, kinds, tier, weight, zone)
         if not engines:
-            row.fault("engine", "a list: at least one engine table is wanted")
+            row.fault("engine", "expected at least one engine table, as type is list")
         row.end()
-        return SourceSpec(name, kind_of, spec, zone=zone, tier=tier, engines=engines)
-    service = service_of(row)
+        return SourceSpec(name, source_type, spec, zone=zone, tier=tier, engines=engines)
+    service = read_service(row)
     resolver = ""
     if resolvers:
         resolver = row.choice("resolver", resolvers, resolvers[0])
     else:
         row.seen.add("resolver")
-        row.fault("resolver", "at least one [[resolver]] is wanted")
-    kind = kinds.index(row.choice("kind", kinds, kinds[0])) if kind_of == "srv" and kinds else 0
-    family = row.choice("family", FAMILIES, FAMILIES[0])
+        row.fault("resolver", "expected at least one [[resolver]]")
+    kind = kinds.index(row.choice("kind", kinds, kinds[0])) if source_type == "srv" and kinds else 0
+    family = row.choice("family", ADDRESS_FAMILIES, ADDRESS_FAMILIES[0])
     row.end()
-    return SourceSpec(name, kind_of, spec, resolver, service, family, kind, zone, tier)
+    return SourceSpec(name, source_type, spec, resolver, service, family, kind, zone, tier)
 
 
-def _older(row: Reader, kinds: tuple[str, ...]) -> tuple[list[SourceSpec], list[ResolverSpec]]:
-    """One source within [engines], as files had it before there were several."""
-    kind_of = row.choice("source", ("list", "dns-sd"))
-    engines = _listed(row, kinds, 0, None, 0)
-    if kind_of == "list":
+def _read_legacy_source(row: Reader, kinds: tuple[str, ...]) -> tuple[list[SourceSpec], list[ResolverSpec]]:
+    """Read the older form of a file, with a single source in [engines]."""
+    source_type = row.choice("source", ("list", "dns-sd"))
+    engines = _read_members(row, kinds, 0, None, 0)
+    if source_type == "list":
         row.seen |= {"resolver", "service"}
         if not engines:
-            row.fault("engine", "source is list: at least one [[engines.engine]] is wanted")
+            row.fault("engine", "expected at least one [[engines.engine]], as source is list")
         return [SourceSpec("engines", "list", Spec("engines"), engines=engines)], []
-    server, service = row.address("resolver"), service_of(row)
+    server, service = row.address("resolver"), read_service(row)
     resolver = ResolverSpec("default", (server,), Patience(), Lifetimes())
     return [SourceSpec("engines", "dns-sd", Spec("engines", shrink=0.5), "default", service)], [resolver]
 
 
-def _rules(top: Reader) -> Rules:
+def _read_rules(top: Reader) -> Rules:
     row, tiers = top.table_of("membership"), top.table_of("tiers")
-    first, most = row.number("hold_s", 5, 0.1, DAY), row.number("hold_most_s", 300, 0.1, DAY)
-    if most < first:
+    first_hold, max_hold = row.number("hold_s", 5, 0.1, DAY_S), row.number("hold_most_s", 300, 0.1, DAY_S)
+    if max_hold < first_hold:
         row.fault("hold_most_s", "must not be below hold_s")
     damping = Damping(
         int(row.number("flaps", 3, 2, 1000)),
-        row.number("flap_window_s", 10, 0.1, DAY),
-        first,
-        most,
-        row.number("calm_s", 60, 0.1, DAY),
+        row.number("flap_window_s", 10, 0.1, DAY_S),
+        first_hold,
+        max_hold,
+        row.number("calm_s", 60, 0.1, DAY_S),
     )
-    lack, full = tiers.number("lack", 0.5, 0, 1), tiers.number("full", 0.75, 0, 1)
-    if full < lack:
-        tiers.fault("full", "must not be below lack: a tier would open and close in turns")
-    ladder = TierRules(
-        lack,
-        full,
+    open_below, target_share = tiers.number("lack", 0.5, 0, 1), tiers.number("full", 0.75, 0, 1)
+    if target_share < open_below:
+        tiers.fault("full", "must not be below lack: a tier would open and close repeatedly")
+    tier_rules = TierRules(
+        open_below,
+        target_share,
         int(tiers.number("least", 1, 1, 20000)),
         tiers.number("step_ms", 1000, 10, 600000) / 1000,
-        tiers.number("settle_s", 15, 0, DAY),
+        tiers.number("settle_s", 15, 0, DAY_S),
     )
     rules = Rules(
         row.number("restart_ms", 1000, 0, 600000) / 1000,
         row.number("confirm_ms", 2000, 100, 600000) / 1000,
-        row.number("handover_s", 30, 0, DAY),
+        row.number("handover_s", 30, 0, DAY_S),
         most_engines=int(row.number("most_engines", 20000, 1, 100000)),
         damping=damping,
-        tiers=ladder,
+        tiers=tier_rules,
     )
     row.end()
     tiers.end()
     return rules
 
 
-def _networks(row: Reader, name: str) -> tuple[str, ...]:
+def _read_networks(row: Reader, name: str) -> tuple[str, ...]:
     texts = row.texts(name)
     if texts:
         try:
             from .membership.addresses import networks
         except ImportError:
-            row.fault(name, "needs the library netaddr: pip install 'aspenrill[sources]'")
+            row.fault(name, "needs the package netaddr: pip install 'aspenrill[sources]'")
             return ()
-        for at, text in enumerate(texts):
+        for index, text in enumerate(texts):
             try:
                 networks([text])
             except ValueError as why:
-                row.fault(f"{name}[{at}]", str(why))
+                row.fault(f"{name}[{index}]", str(why))
     return tuple(texts)
 
 
-def read(top: Reader, engines: Reader, kinds: tuple[str, ...], types: tuple[str, ...] = TYPES) -> Sources:
-    """The sources of a file; faults are noted with `top`. `engines` is the table of the older form."""
+def read(
+    top: Reader, engines: Reader, kinds: tuple[str, ...], types: tuple[str, ...] = SOURCE_TYPES
+) -> Sources:
+    """Read the sources of a file. Faults are recorded in `top`. `engines`: the table of the older form."""
     rows = top.tables("source")
-    resolvers = tuple(_resolver(row) for row in top.tables("resolver"))
-    unique(top, "resolver", [one.name for one in resolvers])
+    resolvers = tuple(_read_resolver(row) for row in top.tables("resolver"))
+    unique(top, "resolver", [spec.name for spec in resolvers])
     if rows:
         for name in ("source", "resolver", "service", "engine"):
             if name in engines.table:
-                engines.fault(name, "there are [[source]] tables: it belongs into one of them")
+                engines.fault(name, "must be in a [[source]] table, as the file has some")
             engines.seen.add(name)
-        found = [_source(row, kinds, tuple(one.name for one in resolvers), types) for row in rows]
-        unique(top, "source", [one.name for one in found])
+        found = [_read_source(row, kinds, tuple(spec.name for spec in resolvers), types) for row in rows]
+        unique(top, "source", [spec.name for spec in found])
     else:
         if resolvers:
-            top.fault("resolver", "is for [[source]] tables, and there are none")
-        found, more = _older(engines, kinds)
-        resolvers = tuple(more) or resolvers
-    rules = _rules(top)
+            top.fault("resolver", "needs [[source]] tables, and there are none")
+        found, legacy_resolvers = _read_legacy_source(engines, kinds)
+        resolvers = tuple(legacy_resolvers) or resolvers
+    rules = _read_rules(top)
     row = top.table_of("addresses")
-    allow, deny = _networks(row, "allow"), _networks(row, "deny")
+    allow, deny = _read_networks(row, "allow"), _read_networks(row, "deny")
     row.end()
     sources = Sources(tuple(found), resolvers, rules, allow, deny)
-    _reachable(top, sources)
+    _check_listed_addresses(top, sources)
     return sources
 
 
 def read_file(text: str, kinds: tuple[str, ...]) -> tuple[Sources | None, list[str]]:
-    """A platform node's file of sources: they and the bulletin, or None, and all that is wrong with it."""
+    """Read a platform node's file of sources, one of them the bulletin. Returns None if there are faults."""
     faults: list[str] = []
     try:
         top = Reader(tomllib.loads(text), "", faults)
@@ -268,41 +273,41 @@
         return None, [f"file: {why}"]
     top.flag("enabled", False)
     if not top.table.get("source"):
-        top.fault("source", "at least one [[source]] is wanted")
+        top.fault("source", "expected at least one [[source]]")
         return None, faults
-    found = read(top, Reader({}, "engines.", faults), kinds, (*TYPES, "bulletin"))
+    found = read(top, Reader({}, "engines.", faults), kinds, (*SOURCE_TYPES, "bulletin"))
     if sum(source.type == "bulletin" for source in found.sources) != 1:
-        top.fault("source", "one of type bulletin is wanted")
+        top.fault("source", "expected exactly one of type bulletin")
     top.end()
     return (None if faults else found), faults
 
 
-def _reachable(top: Reader, sources: Sources) -> None:
-    """An engine that the file itself lists at an address that it forbids is a slip."""
+def _check_listed_addresses(top: Reader, sources: Sources) -> None:
+    """Record a fault for each listed engine whose address the file does not allow."""
     try:
-        allows = policy_of(sources)
+        allows = address_policy(sources)
     except (ImportError, ValueError):
-        return  # a fault already
-    for at, source in enumerate(sources.sources):
-        for place, member in enumerate(source.engines):
+        return  # already recorded as a fault
+    for index, source in enumerate(sources.sources):
+        for engine_index, member in enumerate(source.engines):
             if not allows(member.address[0]):
                 top.fault(
-                    f"source[{at}].engine[{place}].address",
-                    f"{member.address[0]} is not among the addresses allowed",
+                    f"source[{index}].engine[{engine_index}].address",
+                    f"{member.address[0]} is not an allowed address",
                 )
 
 
-def policy_of(sources: Sources) -> Callable[[str], bool]:
-    """Which addresses engines may have. The library for networks is needed where the file names any."""
+def address_policy(sources: Sources) -> Callable[[str], bool]:
+    """Return the check of engine addresses. netaddr is imported only if the file names networks."""
     if not sources.allow and not sources.deny:
-        return _possible
+        return _is_valid_host
     from .membership.addresses import AddressPolicy
 
     return AddressPolicy(sources.allow, sources.deny).allows
 
 
-def _possible(host: str) -> bool:
-    """Without a policy: any address at which a server can listen."""
+def _is_valid_host(host: str) -> bool:
+    """Whether a server can listen at the address, for files without networks."""
     return (
         host not in ("0.0.0.0", "::", "255.255.255.255")
         and not host.lower().startswith("ff")
--- a/aspenrill/start.py
+++ b/aspenrill/start.py
@@ -1,4 +1,4 @@
-"""Starts one real front end, a node of the platform or an application's sidecar; runs it until SIGTERM."""
+"""Runs one front end, a node of the platform or an application's sidecar, until SIGTERM."""
 
 from __future__ import annotations
 
@@ -22,69 +22,74 @@
 
 
 STANDARD_ERROR = 2
-SIGNAL_TRIES = 1000  # to pass a signal on to its task
-SIGNAL_PAUSE = 0.01  # seconds until a signal that could not be read is looked for again
+MAX_SIGNAL_SENDS = 1000  # tries to notify the task of a signal, as the send fails if memory is short
+SIGNAL_RETRY_INTERVAL = 0.01  # seconds until the task reads again after an error
 
 
 def open_log() -> int:
-    """The descriptor for the log. Where standard error is a pipe, one whose writes never wait: a reader that
-    stands still is not to stop the program."""
+    """Return a file descriptor for the log.
+
+    If standard error is a pipe, it is opened again as non-blocking: a stalled reader must not block the
+    program.
+    """
     with contextlib.suppress(OSError):
         if stat.S_ISFIFO(os.fstat(STANDARD_ERROR).st_mode):
             return os.open(f"/proc/self/fd/{STANDARD_ERROR}", os.O_WRONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     return STANDARD_ERROR
 
 
-def on_signal(hub: Hub, number: int, act: Callable[[], None]) -> None:
-    """Run `act` in a task each time the signal has come."""
-    ours, theirs = retry(socket.socketpair, START_FOR)
-    ours.setblocking(False)
-    theirs.setblocking(False)
+def on_signal(hub: Hub, number: int, handler: Callable[[], None]) -> None:
+    """Run `handler` in a task after each arrival of the signal."""
+    receiving_end, sending_end = retry(socket.socketpair, START_FOR)
+    receiving_end.setblocking(False)
+    sending_end.setblocking(False)
 
-    def came(*_: Any) -> None:
-        for _ in range(SIGNAL_TRIES):
+    def forward(*_: Any) -> None:
+        for _ in range(MAX_SIGNAL_SENDS):
             try:
-                theirs.send(b"x")
+                sending_end.send(b"x")
             except BlockingIOError:
-                return  # many lie there unread: one more changes nothing
+                return  # the buffer is full of unread notifications: one more changes nothing
             except OSError:
-                continue  # no memory for it: a signal is not to be lost
+                continue  # out of memory: try again, so that the signal is not lost
             return
 
-    signal.signal(number, came)
+    signal.signal(number, forward)
 
-    def wait() -> None:
+    def handle_signals() -> None:
         while True:
-            hub.wait_fd(ours.fileno(), READ, None)
+            hub.wait_fd(receiving_end.fileno(), READ, None)
             try:
-                ours.recv(4096)
+                receiving_end.recv(4096)
             except OSError:
-                hub.sleep(SIGNAL_PAUSE)
-                continue  # it still lies there
+                hub.sleep(SIGNAL_RETRY_INTERVAL)
+                continue  # the notification is still unread
             try:
-                act()
+                handler()
             except Exception:
                 hub.report(f"signal {number}", traceback.format_exc())
 
-    hub.spawn(wait, name="signal")
+    hub.spawn(handle_signals, name="signal")
 
 
-def main(words: Sequence[str] | None = None, env: Mapping[str, str] = os.environ) -> int:
-    """Run one front end until SIGTERM; 2 where its configuration cannot be used."""
-    words = sys.argv[1:] if words is None else words
+def main(arguments: Sequence[str] | None = None, env: Mapping[str, str] = os.environ) -> int:
+    """Run one front end until SIGTERM. Returns the exit code, 2 if the configuration is invalid."""
+    arguments = sys.argv[1:] if arguments is None else arguments
     log = LogWriter(open_log())
     hub = Hub(log)
     node: Node | None = None
-    on_signal(hub, signal.SIGHUP, lambda: node.reload())  # first: by default it would end the program
-    from .node import ConfigError, platform  # most of what is imported, and so of the time until here
+    on_signal(hub, signal.SIGHUP, lambda: node.reload())  # first, as the default action ends the program
+    from .node import ConfigError, platform  # imported late: most of the start-up time
 
     try:
-        if len(words) > 1:
-            raise ConfigError("usage: python -m aspenrill [FILE], the file being an application's")
-        if words:
+        if len(arguments) > 1:
+            raise ConfigError(
+                "usage: python -m aspenrill [FILE], where FILE is an application's configuration"
+            )
+        if arguments:
             from .sidecar import sidecar
 
-            node = sidecar(hub, words[0])
+            node = sidecar(hub, arguments[0])
         else:
             node = platform(hub, env)
     except ConfigError as why:
@@ -99,6 +104,6 @@
     gc.set_threshold(20000, 20, 50)
     hub.run()
     for number in (signal.SIGHUP, signal.SIGTERM):
-        signal.signal(number, signal.SIG_IGN)  # as the interpreter ends it takes handlers back to the default
+        signal.signal(number, signal.SIG_IGN)  # a shutting down interpreter restores the default actions
     log.flush()
     return 0
--- a/aspenrill/starttimes.py
+++ b/aspenrill/starttimes.py
@@ -1,13 +1,13 @@
-"""When engines started, on the program's own clock.
+"""Converts start times of engines from Unix time to the monotonic clock.
 
-Discovery stamps a late start with Unix time. Neither that clock nor this machine's wall clock can be relied
-on to measure how long ago that was: either may be stepped. What can be relied on is that nothing is told of
-before it has happened, so no start may be taken for older than the promptest news allow, less the time by
-which all of them may have been late. Within that bound the wall clock decides, as it stood when the program
-began. An engine that is taken for younger than it is gets less work for a while; one that is taken for
-older would get more than it bears.
+Engine discovery reports a recent start in Unix time. Neither its clock nor this machine's wall clock is
+reliable for measuring how long ago that was, as either may be stepped. But no start is reported before it has
+happened. So the smallest difference between receiving a report and its Unix time, less the greatest delay
+that all reports may have had, bounds the age of each start. Within that bound the wall clock decides, as it
+was when the program began. An engine with a start time that is too late gets less work for a while; one with
+a start time that is too early would be overloaded.
 
-No I/O but for one reading of both clocks at the beginning.
+No I/O, except that both clocks are read once at the beginning.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 from .members import Member, News
 
-LEAST_LATER = 1e-6  # seconds between two starts of one engine, so that the later one is seen as such
-EARLIEST = 1e-6  # seconds: 0 would say that it started long ago
-LEAST_REDATED = 0.05  # seconds by which a date has to be better for the engine to be told of again
+MIN_RESTART_INTERVAL = 1e-6  # seconds between two starts of one engine, so that the later one is greater
+MIN_START = 1e-6  # seconds; 0 means that it started long ago
+MIN_CORRECTION = 0.05  # seconds by which an estimate must improve before the engine is reported again
 
 Address = tuple[str, int]
 
@@ -29,79 +29,81 @@
 class _Start:
     """The last start of an engine."""
 
-    stamp: float  # Unix seconds, as told
-    at: float  # by the monotonic clock, as far as is known
-    earliest: float  # a former start was before that
-    latest: float  # the latest `at` that was told of it
-    member: Member  # as told last
+    unix_time: float  # Unix seconds, as reported
+    started_at: float  # estimate, monotonic seconds
+    earliest: float  # lower bound: an earlier start of the engine was before this
+    latest_sent: float  # the greatest `started_at` that was passed on
+    member: Member  # as passed on last
 
 
 class StartTimes:
-    """Brings the `started` of members from Unix time to the monotonic clock.
+    """Converts the `started` of members from Unix time to the monotonic clock.
 
-    A start that is told of again keeps its date, or gets an earlier one where the clocks are known better by
-    then; a later start is always dated later than all that was told before.
+    A start that is reported again keeps its estimate, or gets an earlier one if a better offset of the clocks
+    is known by then. A restart always gets a later time than any passed on for the engine before.
     """
 
     def __init__(
-        self, most: int, news_delay: float = 0.0, wall: float | None = None, now: float | None = None
+        self, max_engines: int, max_delay: float = 0.0, wall: float | None = None, now: float | None = None
     ) -> None:
-        """`most`: engines that are remembered.
+        """`max_engines`: the number of engines to store.
 
-        `news_delay`: seconds by which all news may have been late, and so the most by which an engine may be
-        taken for older than it is. `wall`, `now`: both clocks, read here where not given.
+        `max_delay`: seconds by which all reports may have been late, and so the greatest error by which a
+        start time may be too early. `wall`, `now`: the wall and monotonic clocks, read here if not given.
         """
-        self._most, self._news_delay = most, news_delay
+        self._max_engines, self._max_delay = max_engines, max_delay
         now = time.monotonic() if now is None else now
-        self._by_wall = now - (time.time() if wall is None else wall)
-        self._by_news = self._dated_by = float("inf")
-        self._starts: dict[Address, _Start] = {}  # what was told of last stands last
+        self._wall_offset = now - (time.time() if wall is None else wall)
+        self._min_offset = self._sent_offset = float("inf")
+        self._starts: dict[Address, _Start] = {}  # the last reported one is last
 
-    def news(self, now: float, news: News) -> News:
-        """The event with its starts on the monotonic clock, and with engines that can be dated better by it.
+    def convert_update(self, now: float, update: News) -> News:
+        """Convert a list update, and add other engines whose estimates it improves.
 
-        A whole list forgets whom it does not name.
+        A complete list removes the stored engines that it does not contain.
         """
-        members = self.members(now, news.members)
-        if news.whole:
+        members = self.members(now, update.members)
+        if update.whole:
             named = {member.address for member in members if member.started}
             self._starts = {address: start for address, start in self._starts.items() if address in named}
-        elif self._by_news < self._dated_by - LEAST_REDATED:
-            members += self._redated(now, {member.engine for member in members})
-        self._dated_by = min(self._dated_by, self._by_news)
-        return replace(news, members=members)
+        elif self._min_offset < self._sent_offset - MIN_CORRECTION:
+            members += self._corrected_members(now, {member.engine for member in members})
+        self._sent_offset = min(self._sent_offset, self._min_offset)
+        return replace(update, members=members)
 
     def members(self, now: float, members: Sequence[Member]) -> tuple[Member, ...]:
-        """The members with their starts on the monotonic clock."""
+        """Convert members to start times on the monotonic clock."""
         for member in members:
             if member.started:
-                self._by_news = min(self._by_news, now - member.started)
-        return tuple([self._translated(now, member) if member.started else member for member in members])
+                self._min_offset = min(self._min_offset, now - member.started)
+        return tuple([self._convert(now, member) if member.started else member for member in members])
 
-    def _translated(self, now: float, member: Member) -> Member:
+    def _convert(self, now: float, member: Member) -> Member:
         start = self._starts.pop(member.address, None)
-        if start is None or member.started > start.stamp:
-            earliest = max(EARLIEST, start.latest + LEAST_LATER if start is not None else 0.0)
-            at = self._date(now, member.started, earliest)
-            start = _Start(member.started, at, earliest, at, member)
+        if start is None or member.started > start.unix_time:
+            earliest = max(MIN_START, start.latest_sent + MIN_RESTART_INTERVAL if start is not None else 0.0)
+            started_at = self._estimate_start(now, member.started, earliest)
+            start = _Start(member.started, started_at, earliest, started_at, member)
         else:
-            start.at = min(start.at, self._date(now, start.stamp, start.earliest))
-        start.member = replace(member, started=start.at)
+            start.started_at = min(
+                start.started_at, self._estimate_start(now, start.unix_time, start.earliest)
+            )
+        start.member = replace(member, started=start.started_at)
         self._starts[member.address] = start
-        if len(self._starts) > self._most:
+        if len(self._starts) > self._max_engines:
             del self._starts[next(iter(self._starts))]
         return start.member
 
-    def _date(self, now: float, stamp: float, earliest: float) -> float:
-        return max(earliest, min(now, stamp + max(self._by_wall, self._by_news - self._news_delay)))
+    def _estimate_start(self, now: float, unix_time: float, earliest: float) -> float:
+        return max(earliest, min(now, unix_time + max(self._wall_offset, self._min_offset - self._max_delay)))
 
-    def _redated(self, now: float, told: set[str]) -> tuple[Member, ...]:
-        """Others than those told of, whose date is better by now."""
+    def _corrected_members(self, now: float, exclude: set[str]) -> tuple[Member, ...]:
+        """Engines outside `exclude` whose estimate has improved."""
         found = []
         for start in self._starts.values():
-            at = self._date(now, start.stamp, start.earliest)
-            if start.member.engine not in told and at < start.at - LEAST_REDATED:
-                start.at = at
-                start.member = replace(start.member, started=at)
+            started_at = self._estimate_start(now, start.unix_time, start.earliest)
+            if start.member.engine not in exclude and started_at < start.started_at - MIN_CORRECTION:
+                start.started_at = started_at
+                start.member = replace(start.member, started=started_at)
                 found.append(start.member)
         return tuple(found)
--- a/aspenrill/tool/__init__.py
+++ b/aspenrill/tool/__init__.py
@@ -1,1 +1,1 @@
-"""Writes and checks an application's file, and prints the records that announce its front."""
+"""Writes and checks an application's file, queries its sources and prints its DNS-SD records."""
--- a/aspenrill/tool/__main__.py
+++ b/aspenrill/tool/__main__.py
@@ -1,4 +1,4 @@
-"""The tool: `write`, `check`, `sources` and `records`, each for one application's file."""
+"""Command-line tool for an application's file: `write`, `check`, `sources` and `records`."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from .. import application
 from ..net.address import family_of, show
 from ..wire import dns
-from . import sources as gathered
+from . import sources as source_report
 from .template import TEMPLATE
 
-TTL = 120
+RECORD_TTL = 120  # seconds
 
 
 def write(args: argparse.Namespace) -> int:
-    """A new file with every field and what it means; an existing one is left alone."""
+    """Write a new file with every field and its meaning. An existing file is kept unless --force is given."""
     if not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9_-]{0,62}", args.name):
-        print("name: letters, digits, - and _ are wanted, 63 at most", file=sys.stderr)
+        print("name: expected at most 63 letters, digits, - and _", file=sys.stderr)
         return 1
     text = TEMPLATE.replace("@NAME@", args.name).replace("@LISTEN@", args.listen)
     faults = application.read(text)[1]
@@ -32,12 +32,12 @@
         with open(args.file, "w" if args.force else "x", encoding="utf-8") as file:
             file.write(text)
     except FileExistsError:
-        print(f"{args.file}: is there already; --force overwrites it", file=sys.stderr)
+        print(f"{args.file}: already exists; --force overwrites it", file=sys.stderr)
         return 1
     except OSError as why:
         print(f"{args.file}: {why.strerror}", file=sys.stderr)
         return 1
-    print(f"{args.file}: written; look it over, then: python -m aspenrill.tool check {args.file}")
+    print(f"{args.file}: written; edit it, then run: python -m aspenrill.tool check {args.file}")
     return 0
 
 
@@ -53,12 +53,12 @@
 
 
 def check(args: argparse.Namespace) -> int:
-    """Every fault by its field, and 1; or one line that the file is good, and 0."""
+    """Print every fault by field and return 1, or a summary of a valid file and return 0."""
     found = _load(args.file)
     if found is None:
         return 1
     print(
-        f"{args.file}: good; {found.name} listens on {show(found.listen)}, "
+        f"{args.file}: valid; {found.name} listens on {show(found.listen)}, "
         f"{len(found.classes)} classes, {len(found.logins)} logins, engines from {found.source}"
         + ("" if found.enabled else "; not enabled")
     )
@@ -66,55 +66,57 @@
 
 
 def records(args: argparse.Namespace) -> int:
-    """The application's own DNS-SD records, as lines for a zone file."""
+    """Print the DNS-SD records of the application itself, as lines for a zone file."""
     found = _load(args.file)
     if found is None:
         return 1
     service = dns.name_of(f"_tds._tcp.{found.domain}")
-    host = dns.name_of(found.instance_host or f"{found.name}.{found.domain}")
+    host = dns.name_of(found.dns_host or f"{found.name}.{found.domain}")
     name, instance = dns.text_of(service), dns.text_of((found.name, *service))
-    print(f"{name} {TTL} IN PTR {instance}")
-    print(f"{instance} {TTL} IN SRV 0 0 {found.listen[1]} {dns.text_of(host)}")
-    print(f'{instance} {TTL} IN TXT "txtvers=1" "app={found.name}"')
+    print(f"{name} {RECORD_TTL} IN PTR {instance}")
+    print(f"{instance} {RECORD_TTL} IN SRV 0 0 {found.listen[1]} {dns.text_of(host)}")
+    print(f'{instance} {RECORD_TTL} IN TXT "txtvers=1" "app={found.name}"')
     kind = "AAAA" if family_of(found.listen[0]) == socket.AF_INET6 else "A"
-    print(f"{dns.text_of(host)} {TTL} IN {kind} {found.listen[0]}")
+    print(f"{dns.text_of(host)} {RECORD_TTL} IN {kind} {found.listen[0]}")
     return 0
 
 
 def sources(args: argparse.Namespace) -> int:
-    """What each source says now, the merged list, and why each engine is in or out."""
+    """Print the list of each source, the merged list, and why each engine is in or out."""
     found = _load(args.file)
-    return 1 if found is None else gathered.run(args, found)
+    return 1 if found is None else source_report.run(args, found)
 
 
-def main(words: Sequence[str] | None = None) -> int:
-    """Run one command."""
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Run the command in `arguments`, by default those of the process. Returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m aspenrill.tool", description=__doc__)
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
-    one = commands.add_parser("write", help="write a new, commented file")
-    one.add_argument("file")
-    one.add_argument("--name", default="billing", help="the application's name (default: billing)")
-    one.add_argument(
+    command = commands.add_parser("write", help="write a new, commented file")
+    command.add_argument("file")
+    command.add_argument("--name", default="billing", help="the application's name (default: billing)")
+    command.add_argument(
         "--listen",
         default="127.0.0.1:1433",
         metavar="ADDRESS:PORT",
         help="where its clients connect (default: 127.0.0.1:1433)",
     )
-    one.add_argument("--force", action="store_true", help="overwrite the file")
-    one.set_defaults(run=write)
+    command.add_argument("--force", action="store_true", help="overwrite the file")
+    command.set_defaults(run=write)
     for name, run, text in (
         ("check", check, "name every fault of a file"),
         ("records", records, "print the application's DNS-SD records"),
     ):
-        one = commands.add_parser(name, help=text)
-        one.add_argument("file")
-        one.set_defaults(run=run)
-    one = commands.add_parser("sources", help="ask all sources now, print the merged list and why")
-    one.add_argument("file")
-    one.add_argument("--seconds", type=float, default=10.0, help="how long to wait for them (default: 10)")
-    one.add_argument("--json", action="store_true", help="print it as JSON")
-    one.set_defaults(run=sources)
-    args = parser.parse_args(words)
+        command = commands.add_parser(name, help=text)
+        command.add_argument("file")
+        command.set_defaults(run=run)
+    command = commands.add_parser("sources", help="ask all sources now, print the merged list and why")
+    command.add_argument("file")
+    command.add_argument(
+        "--seconds", type=float, default=10.0, help="how long to wait for them (default: 10)"
+    )
+    command.add_argument("--json", action="store_true", help="print it as JSON")
+    command.set_defaults(run=sources)
+    args = parser.parse_args(arguments)
     return args.run(args)
 
 
--- a/aspenrill/tool/sources.py
+++ b/aspenrill/tool/sources.py
@@ -1,4 +1,4 @@
-"""What each source of a file says now, the merged list, and why each engine is in or out."""
+"""The command `sources`: queries the sources of a file, merges their lists and explains the result."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 from ..net.address import show
 from ..net.hub import Hub
 
-LOOK = 0.05  # seconds between two looks whether all have spoken
+POLL_INTERVAL = 0.05  # seconds between two checks whether all sources have answered
 
 
-def gather(
+def query_sources(
     app: application.Application,
     seconds: float,
     hub: Hub | None = None,
 ) -> tuple[dict[str, Any], list[str]]:
-    """Ask all sources once, for so long at most: what came of it as plain data, and what was logged."""
-    lines: list[str] = []
+    """Query all sources once, within a time limit. Returns the report and the log lines."""
+    log_lines: list[str] = []
     hub = hub or Hub()
-    hub.log = lines.append
-    gathering = Gathering(hub, app.sources, app.kinds, lambda event: None)
+    hub.log = log_lines.append
+    source_setup = Gathering(hub, app.sources, app.kinds, lambda event: None)
     found: dict[str, Any] = {}
 
     def wait() -> None:
-        until = time.monotonic() + seconds
-        sources = gathering.membership.sources.values()
-        while time.monotonic() < until and any(s.first and s.failing is None for s in sources):
-            hub.sleep(LOOK)
-        found.update(report(gathering, app.kinds, time.monotonic()))
+        deadline = time.monotonic() + seconds
+        sources = source_setup.membership.sources.values()
+        while time.monotonic() < deadline and any(s.first and s.failing is None for s in sources):
+            hub.sleep(POLL_INTERVAL)
+        found.update(build_report(source_setup, app.kinds, time.monotonic()))
         hub.stop()
 
     hub.spawn(wait)
     hub.run()
-    return found, lines
+    return found, log_lines
 
 
-def report(gathering: Gathering, kinds: tuple[str, ...], now: float) -> dict[str, Any]:
-    """The state of a gathering as plain data; times in seconds."""
-    membership, types = gathering.membership, {s.name: s.type for s in gathering.sources.sources}
+def build_report(source_setup: Gathering, kinds: tuple[str, ...], now: float) -> dict[str, Any]:
+    """The state of the sources and of the merged list, ready for JSON; times in seconds."""
+    membership, types = source_setup.membership, {s.name: s.type for s in source_setup.sources.sources}
     sources = []
     for source in membership.sources.values():
         sources.append(
@@ -85,29 +85,31 @@
     return {"sources": sources, "engines": engines}
 
 
-def print_report(found: dict[str, Any], lines: list[str]) -> None:
-    """For people."""
+def print_report(found: dict[str, Any], log_lines: list[str]) -> None:
+    """Print the report as text, and the log lines to standard error."""
     for source in found["sources"]:
         print(
             f"source {source['name']} ({source['type']}) {source['state']}, "
             f"{len(source['entries'])} entries" + (f": {source['why']}" if source["why"] else "")
         )
-        for one in source["entries"]:
-            weight = "" if one["weight"] is None else f" priority {one['priority']} weight {one['weight']:g}"
-            print(f"  {one['address']:<24} {one['state']:<9} {one['name']}{weight}")
-    count = sum(one["in"] for one in found["engines"])
+        for entry in source["entries"]:
+            weight = (
+                "" if entry["weight"] is None else f" priority {entry['priority']} weight {entry['weight']:g}"
+            )
+            print(f"  {entry['address']:<24} {entry['state']:<9} {entry['name']}{weight}")
+    count = sum(engine["in"] for engine in found["engines"])
     print(f"merged: {len(found['engines'])} engines, {count} in")
-    for one in found["engines"]:
-        print(f"  {'in ' if one['in'] else 'out'} {one['address']:<24} {one['id']}: {one['why']}")
-    for line in lines:
+    for engine in found["engines"]:
+        print(f"  {'in ' if engine['in'] else 'out'} {engine['address']:<24} {engine['id']}: {engine['why']}")
+    for line in log_lines:
         print(f"log: {line}", file=sys.stderr)
 
 
 def run(args: argparse.Namespace, app: application.Application) -> int:
-    """The command; 1 where a source has not answered."""
-    found, lines = gather(app, args.seconds)
+    """Run the command. Returns 1 if a source has not answered."""
+    found, log_lines = query_sources(app, args.seconds)
     if args.json:
         print(json.dumps(found, indent=1))
     else:
-        print_report(found, lines)
+        print_report(found, log_lines)
     return int(any(source["state"] != "answers" for source in found["sources"]))
--- a/standins/soak/defects.py
+++ b/standins/soak/defects.py
@@ -67,7 +67,7 @@
         (
             Replacement(
                 NODE,
-                "        self._drained(kill_at - ANSWERED)\n",
+                "        self._wait_for_clients(sigkill_at - ANSWER_MARGIN)\n",
                 "        self.hub.stop()\n        return\n",
             ),
         ),
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""Sources on sockets: scripted name servers, the merged list, and engines whose own logs tell what came."""
+"""Sources over sockets: scripted name servers, the merged list, and engines that record their requests."""
 
 from __future__ import annotations
 
@@ -12,85 +12,88 @@
 from aspenrill.gathering import Gathering
 from standins.nameserver import Act, NameServer
 from standins.world import ROWS, SETTINGS, World
-from standins.world import Act as Work
+from standins.world import Act as EngineBehaviour
 
-PROTOCOLS = pytest.mark.parametrize("protocol", ["thrift", "tds"])
+for_each_protocol = pytest.mark.parametrize("protocol", ["thrift", "tds"])
 
 
-@PROTOCOLS
-def test_srv_names_an_engine_that_the_roster_says_drains(protocol):
-    # the engine's own log tells: nothing new later than 500 ms after the drain was learned
-    m = Merged(protocol)
-    a, b = m.engines
+@for_each_protocol
+def test_an_engine_that_the_bulletin_drains_gets_no_requests_although_srv_lists_it(protocol):
+    # the engine itself records that no request begins later than 500 ms after the drain was received
+    setup = Merged(protocol)
+    a, b = setup.engines
 
-    def play():
-        m.srv(a, b)
-        m.begin()
-        m.listed(a, b)
-        m.roster(m.world.member(a), m.world.member(b), whole=True)
-        client = m.world.client()
+    def scenario():
+        setup.srv(a, b)
+        setup.begin()
+        setup.listed(a, b)
+        setup.roster(setup.world.member(a), setup.world.member(b), whole=True)
+        client = setup.world.client()
         for _ in range(20):
             assert client.ask("select 1").rows == ROWS
         assert a.began and b.began
-        m.roster(m.world.member(a, api.EngineState.DRAINING))
-        told = time.monotonic()
-        asked = len(m.server.asked)
-        while time.monotonic() < told + 2.0:
+        setup.roster(setup.world.member(a, api.EngineState.DRAINING))
+        learned_at = time.monotonic()
+        asked = len(setup.server.asked)
+        while time.monotonic() < learned_at + 2.0:
             assert client.ask("select 1").rows == ROWS
-        assert max(at for at, _ in a.began) < told + 0.5 and max(at for at, _ in b.began) > told + 1.5
-        assert len(m.server.asked) > asked, "the records were not asked for again meanwhile"
-
-    m.run(play)
-
-
-@PROTOCOLS
-def test_a_record_that_is_withdrawn_is_a_drain(protocol):
-    m = Merged(protocol, 3, "srv")
-
-    def play():
-        m.srv(*m.engines)
-        m.begin()
-        m.listed(*m.engines)
-        gone, client = m.engines[2], m.world.client()
-        gone.act = lambda s: Work(after=1.5 if "long" in s else 0)
-        report = m.world.client("usage-report")
-        for engine in m.engines[:2]:
-            engine.act = gone.act
-        while not any("long" in s for s in gone.statements):
-            report = m.world.client("usage-report")
-            report.send("select long from sales_1.x")
-            m.hub.sleep(0.1)
-        m.srv(*m.engines[:2])
-        m.listed(*m.engines[:2])
-        learned = time.monotonic()
-        while time.monotonic() < learned + 0.8:
+        assert (
+            max(at for at, _ in a.began) < learned_at + 0.5
+            and max(at for at, _ in b.began) > learned_at + 1.5
+        )
+        assert len(setup.server.asked) > asked, "the records were not queried again in the meantime"
+
+    setup.run(scenario)
+
+
+@for_each_protocol
+def test_a_withdrawn_record_drains_the_engine(protocol):
+    setup = Merged(protocol, 3, "srv")
+
+    def scenario():
+        setup.srv(*setup.engines)
+        setup.begin()
+        setup.listed(*setup.engines)
+        removed, client = setup.engines[2], setup.world.client()
+        removed.act = lambda s: EngineBehaviour(after=1.5 if "long" in s else 0)
+        slow_client = setup.world.client("usage-report")
+        for engine in setup.engines[:2]:
+            engine.act = removed.act
+        while not any("long" in s for s in removed.statements):
+            slow_client = setup.world.client("usage-report")
+            slow_client.send("select long from sales_1.x")
+            setup.hub.sleep(0.1)
+        setup.srv(*setup.engines[:2])
+        setup.listed(*setup.engines[:2])
+        learned_at = time.monotonic()
+        while time.monotonic() < learned_at + 0.8:
             assert client.ask("select 1").rows == ROWS
-        assert max(at for at, _ in gone.began) < learned + 0.05
-        assert report.read(10).rows == ROWS and not gone.stopped  # what it has, it ends
+        assert max(at for at, _ in removed.began) < learned_at + 0.05
+        assert slow_client.read(10).rows == ROWS and not removed.stopped  # the running request is completed
 
-    m.run(play)
+    setup.run(scenario)
 
 
-def test_a_resolver_that_is_silent_loses_nothing_and_what_is_new_comes_after_it():
-    m = Merged("thrift", 3, "srv")
+def test_while_the_resolver_is_silent_the_last_list_is_used_and_a_new_one_follows():
+    setup = Merged("thrift", 3, "srv")
 
-    def play():
-        m.srv(*m.engines[:2])
-        m.begin()
-        m.listed(*m.engines[:2])
-        m.server.act = lambda asked: Act(lose=True)
-        client, until = m.world.client(), time.monotonic() + 3.0
-        while time.monotonic() < until:
+    def scenario():
+        setup.srv(*setup.engines[:2])
+        setup.begin()
+        setup.listed(*setup.engines[:2])
+        setup.server.act = lambda asked: Act(lose=True)
+        client, deadline = setup.world.client(), time.monotonic() + 3.0
+        while time.monotonic() < deadline:
             assert client.ask("select 1").rows == ROWS
-            assert m.live == {e.listener.address[1] for e in m.engines[:2]}
-            m.hub.sleep(0.02)
-        assert sum("its last list of 2 stays" in line for line in m.world.logged) == 1
-        m.srv(*m.engines)
-        m.server.act = lambda asked: Act()
-        m.listed(*m.engines)
-        assert any("answers again" in line for line in m.world.logged)
+            assert setup.live == {e.listener.address[1] for e in setup.engines[:2]}
+            setup.hub.sleep(0.02)
+        assert sum("its last list of 2 stays" in line for line in setup.world.logged) == 1
+        setup.srv(*setup.engines)
+        setup.server.act = lambda asked: Act()
+        setup.listed(*setup.engines)
+        assert any("answers again" in line for line in setup.world.logged)
 
-    m.run(play)
+    setup.run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -105,199 +108,205 @@
     ],
     ids=["NXDOMAIN", "empty", "code 2", "code 5", "TCP stalls", "TCP cut"],
 )
-def test_no_such_name_an_empty_answer_and_failures_differ(act, kept):
-    # "there is none" counts once a second look says so too; a failure never does
-    m = Merged("thrift", 3, "srv")
-
-    def play():
-        m.srv(*m.engines)
-        m.begin()
-        m.listed(*m.engines)
+def test_negative_answers_empty_the_list_after_confirmation_and_failures_never_do(act, kept):
+    # a negative answer takes effect after a second query confirms it; a failure has no effect
+    setup = Merged("thrift", 3, "srv")
+
+    def scenario():
+        setup.srv(*setup.engines)
+        setup.begin()
+        setup.listed(*setup.engines)
         if not kept:
-            m.server.put(SERVICE, "SRV")
-            m.server.put("more." + SERVICE, "TXT", '"x"')
-        m.server.act = lambda asked: act if asked.kind == "SRV" else Act()
-        m.world.until(lambda: any("stays" in s or "second look" in s for s in m.world.logged))
-        assert len(m.live) == 3
+            setup.server.put(SERVICE, "SRV")
+            setup.server.put("more." + SERVICE, "TXT", '"x"')
+        setup.server.act = lambda asked: act if asked.kind == "SRV" else Act()
+        setup.world.until(lambda: any("stays" in s or "second look" in s for s in setup.world.logged))
+        assert len(setup.live) == 3
         if kept:
-            m.hub.sleep(1.5)
-            assert len(m.live) == 3
+            setup.hub.sleep(1.5)
+            assert len(setup.live) == 3
         else:
-            m.listed()
-            assert sum("second look" in line for line in m.world.logged) == 2
-
-    m.run(play)
-
-
-@PROTOCOLS
-def test_an_address_moves_to_another_id_while_requests_are_out(protocol):
-    # pools are the engine's, not the address's: what is out ends where it is, what is new uses none of it
-    m = Merged(protocol, 1, "dns-sd")
-    [engine] = m.engines
-
-    def play():
-        engine.act = lambda s: Work(after=1.2 if "long" in s else 0)
-        m.server.put(SD, "PTR", f"old.{SD}")
-        m.instance("old", engine)
-        m.instance("new", engine)
-        m.begin()
-        m.listed(engine)
-        report, client = m.world.client("usage-report"), m.world.client()
+            setup.listed()
+            assert sum("second look" in line for line in setup.world.logged) == 2
+
+    setup.run(scenario)
+
+
+@for_each_protocol
+def test_an_address_moves_to_another_id_with_requests_in_flight(protocol):
+    # connection pools belong to an engine id, not an address: running requests end on the old connections,
+    # and new requests do not use these
+    setup = Merged(protocol, 1, "dns-sd")
+    [engine] = setup.engines
+
+    def scenario():
+        engine.act = lambda s: EngineBehaviour(after=1.2 if "long" in s else 0)
+        setup.server.put(SD, "PTR", f"old.{SD}")
+        setup.instance("old", engine)
+        setup.instance("new", engine)
+        setup.begin()
+        setup.listed(engine)
+        slow_client, client = setup.world.client("usage-report"), setup.world.client()
         assert client.ask("select 1").rows == ROWS
-        before = next(iter(m.world.node.owner.peers.values()))
+        before = next(iter(setup.world.node.owner.peers.values()))
         idle = list(before.idle)
-        report.send("select long from sales_1.x")
-        m.world.until(lambda: engine.running)
-        m.server.put(SD, "PTR", f"new.{SD}")
-        m.world.until(
-            lambda: any("new" in name and p.takes_work for name, p in m.world.node.owner.peers.items())
+        slow_client.send("select long from sales_1.x")
+        setup.world.until(lambda: engine.running)
+        setup.server.put(SD, "PTR", f"new.{SD}")
+        setup.world.until(
+            lambda: any("new" in name and p.takes_work for name, p in setup.world.node.owner.peers.items())
         )
         assert client.ask("select 2").rows == ROWS
-        assert report.read(10).rows == ROWS and not engine.stopped
-        now = m.world.node.owner.peers[f"new.{SD}".rstrip(".")]
+        assert slow_client.read(10).rows == ROWS and not engine.stopped
+        now = setup.world.node.owner.peers[f"new.{SD}".rstrip(".")]
         assert now is not before and now.started > 0 and not before.idle
         assert idle and now.idle and not set(idle) & set(now.idle)
 
-    m.run(play)
+    setup.run(scenario)
 
 
-def test_instances_tell_kind_zone_and_state():
-    m = Merged("thrift", 2, "dns-sd")
-    a, b = m.engines
+def test_dns_sd_instances_have_kind_zone_and_state():
+    setup = Merged("thrift", 2, "dns-sd")
+    a, b = setup.engines
 
-    def play():
-        m.server.put(SD, "PTR", f"a.{SD}", f"b.{SD}")
-        m.instance("a", a, "kind=std", "zone=3", "cell=9", "started=5000")
-        m.instance("b", b)
+    def scenario():
+        setup.server.put(SD, "PTR", f"a.{SD}", f"b.{SD}")
+        setup.instance("a", a, "kind=std", "zone=3", "cell=9", "started=5000")
+        setup.instance("b", b)
         begun = time.monotonic()
-        m.begin()
-        m.listed(a, b)
-        entry = m.world.node.owner.gateway.fleet.engines[f"a.{SD}".rstrip(".")].entry
+        setup.begin()
+        setup.listed(a, b)
+        entry = setup.world.node.owner.gateway.fleet.engines[f"a.{SD}".rstrip(".")].entry
         assert (entry.zone, entry.cell, entry.weight) == (3, 9, None)
-        assert begun <= entry.started <= time.monotonic()  # the latest start that is known may be quite new
-        m.instance("b", b, "state=draining")
-        m.listed(a)
-        assert m.world.node.owner.peers[f"b.{SD}".rstrip(".")].state is api.EngineState.DRAINING
+        assert (
+            begun <= entry.started <= time.monotonic()
+        )  # no clock offset is known yet, so the start may be recent
+        setup.instance("b", b, "state=draining")
+        setup.listed(a)
+        assert setup.world.node.owner.peers[f"b.{SD}".rstrip(".")].state is api.EngineState.DRAINING
 
-    m.run(play)
+    setup.run(scenario)
 
 
-@PROTOCOLS
+@for_each_protocol
 def test_ipv6_from_records_to_connections(protocol):
-    m = Merged(protocol, 2, "srv", host="::1")
+    setup = Merged(protocol, 2, "srv", host="::1")
 
-    def play():
-        m.srv(*m.engines)
-        m.begin()
-        m.listed(*m.engines)
+    def scenario():
+        setup.srv(*setup.engines)
+        setup.begin()
+        setup.listed(*setup.engines)
         for _ in range(8):
-            assert m.world.client().ask("select 1").rows == ROWS
-        assert all(e.began for e in m.engines)
-        assert all(":" in p.address[0] for p in m.world.node.owner.peers.values())
+            assert setup.world.client().ask("select 1").rows == ROWS
+        assert all(e.began for e in setup.engines)
+        assert all(":" in p.address[0] for p in setup.world.node.owner.peers.values())
 
-    m.run(play)
+    setup.run(scenario)
 
 
-def test_a_lower_tier_is_let_in_while_the_first_cannot_be_reached():
-    m = Merged("thrift", 4, "srv")
-    first, second = m.engines[:2], m.engines[2:]
+def test_a_lower_tier_opens_while_the_first_is_unreachable():
+    setup = Merged("thrift", 4, "srv")
+    first, second = setup.engines[:2], setup.engines[2:]
 
-    def play():
-        m.server.srv(
+    def scenario():
+        setup.server.srv(
             SERVICE,
             *(
                 (0 if e in first else 7, 5, e.listener.address[1], f"{e.name}.example.", "127.0.0.1")
-                for e in m.engines
+                for e in setup.engines
             ),
         )
-        m.begin()
-        m.listed(*first)
-        client = m.world.client()
+        setup.begin()
+        setup.listed(*first)
+        client = setup.world.client()
         for _ in range(8):
             assert client.ask("select 1").rows == ROWS
         for engine in first:
             engine.down()
-        kinds, until = [], time.monotonic() + 6
-        while time.monotonic() < until and not all(e.began for e in second):
+        kinds, deadline = [], time.monotonic() + 6
+        while time.monotonic() < deadline and not all(e.began for e in second):
             kinds.append(client.ask("select 1").kind)
-            m.hub.sleep(0.01)
-        assert all(e.began for e in second), "the second tier got no work"
-        assert any("tier 7 opens" in line for line in m.world.logged)
+            setup.hub.sleep(0.01)
+        assert all(e.began for e in second), "the second tier got no requests"
+        assert any("tier 7 opens" in line for line in setup.world.logged)
         assert set(kinds) <= {"served", "refused", "failed"}
-        cold = [p for p in m.world.node.owner.peers.values() if p.started > time.monotonic() - 10]
+        cold = [p for p in setup.world.node.owner.peers.values() if p.started > time.monotonic() - 10]
         assert {p.address[1] for p in cold} == {e.listener.address[1] for e in second}
 
-    m.run(play)
+    setup.run(scenario)
 
 
-@PROTOCOLS
-def test_three_front_ends_meet_a_cold_engine_together(protocol):
-    # it does 31% of its capacity at first; all together stay under 2.5 times what it can do, in any 1.5 s
+@for_each_protocol
+def test_three_front_ends_together_do_not_overload_a_cold_engine(protocol):
+    # a cold engine has 31% of its capacity at first; in any 1.5 s, all front ends together must send it at
+    # most 2.5 times its capacity
     work, cores = 0.04, 1
-    setup = replace(SETTINGS, cores_by_kind=(cores,), gateways=3)
-    lead = Merged(protocol, 2, "srv", settings=setup)
-    warm, cold = lead.engines
+    front_settings = replace(SETTINGS, cores_by_kind=(cores,), gateways=3)
+    first_setup = Merged(protocol, 2, "srv", settings=front_settings)
+    warm, cold = first_setup.engines
     for engine in (warm, cold):
-        engine.act = lambda s: Work(after=work)
-    nodes = []
+        engine.act = lambda s: EngineBehaviour(after=work)
+    front_ends = []
     for me in range(3):
-        world = World(protocol, 0, replace(setup, me=me), listed=False, hub=lead.hub)
-        nodes.append((world, Gathering(lead.hub, lead.sources, ("std",), world.node.post)))
-
-    def play():
-        lead.srv(warm)
-        clients = [world.client() for world, _ in nodes for _ in range(8)]
-        lead.world.until(lambda: all(len(w.node.owner.peers) == 1 for w, _ in nodes))
-        announced, until = time.monotonic(), time.monotonic() + 4.5
-        lead.srv(warm, cold)
-        while time.monotonic() < until:
+        world = World(protocol, 0, replace(front_settings, me=me), listed=False, hub=first_setup.hub)
+        front_ends.append((world, Gathering(first_setup.hub, first_setup.sources, ("std",), world.node.post)))
+
+    def scenario():
+        first_setup.srv(warm)
+        clients = [world.client() for world, _ in front_ends for _ in range(8)]
+        first_setup.world.until(lambda: all(len(w.node.owner.peers) == 1 for w, _ in front_ends))
+        announced_at, deadline = time.monotonic(), time.monotonic() + 4.5
+        first_setup.srv(warm, cold)
+        while time.monotonic() < deadline:
             for client in clients:
                 client.send("select 1")
             for client in clients:
                 client.read(10)
-        assert all(len(w.node.owner.peers) == 2 for w, _ in nodes) and cold.began
+        assert all(len(w.node.owner.peers) == 2 for w, _ in front_ends) and cold.began
         times = [at for at, _ in cold.began]
         for begin in times:
             sent = sum(begin <= at < begin + 1.5 for at in times) * work
-            able = 0.31 + 0.69 * max(0.0, begin - announced) / 12
-            assert sent <= 2.5 * able * cores * 1.5, f"{sent:.2f} s of work in a window, {able:.2f} able"
+            capacity = 0.31 + 0.69 * max(0.0, begin - announced_at) / 12
+            assert sent <= 2.5 * capacity * cores * 1.5, (
+                f"{sent:.2f} s of work in a window, capacity {capacity:.2f}"
+            )
         assert len(warm.began) > 2 * len(cold.began)
 
-    lead.run(play)
-
-
-def test_sighup_changes_sources_order_and_resolvers_with_engines_and_requests_kept():
-    m = Merged("thrift", 2, "bulletin srv")
-    a, b = m.engines
-
-    def play():
-        a.act = b.act = lambda s: Work(after=1.0 if "long" in s else 0)
-        m.srv(a, b)
-        m.begin()
-        m.listed(a, b)
-        report = m.world.client("usage-report")
-        report.send("select long from sales_1.x")
-        m.world.until(lambda: a.running or b.running)
-        peers = dict(m.world.node.owner.peers)
-        other = NameServer(m.hub)
-        other.zone, other.act = m.server.zone, lambda asked: Act(delay=0.15)
-        records = replace(m.sources.sources[1], name="others")
-        m.server.act = lambda asked: Act(lose=True)
-        m.gathering.change(
+    first_setup.run(scenario)
+
+
+def test_a_configuration_change_of_sources_keeps_engines_and_requests():
+    setup = Merged("thrift", 2, "bulletin srv")
+    a, b = setup.engines
+
+    def scenario():
+        a.act = b.act = lambda s: EngineBehaviour(after=1.0 if "long" in s else 0)
+        setup.srv(a, b)
+        setup.begin()
+        setup.listed(a, b)
+        slow_client = setup.world.client("usage-report")
+        slow_client.send("select long from sales_1.x")
+        setup.world.until(lambda: a.running or b.running)
+        peers = dict(setup.world.node.owner.peers)
+        other_server = NameServer(setup.hub)
+        other_server.zone, other_server.act = setup.server.zone, lambda asked: Act(delay=0.15)
+        records = replace(setup.sources.sources[1], name="others")
+        setup.server.act = lambda asked: Act(lose=True)
+        setup.gathering.change(
             replace(
-                m.sources,
+                setup.sources,
                 sources=(records, ROSTER),
-                resolvers=(replace(m.resolver, servers=(other.address,)),),
+                resolvers=(replace(setup.resolver, servers=(other_server.address,)),),
             )
         )
-        m.world.until(lambda: other.asked)
-        assert m.live == {e.listener.address[1] for e in m.engines}
-        m.hub.sleep(0.6)
-        assert dict(m.world.node.owner.peers) == peers  # the same engines, the same pools
-        assert report.read(10).rows == ROWS
-        m.server.act = lambda asked: Act()
-        asked = len(m.server.asked)
-        m.hub.sleep(1.2)
-        assert len(m.server.asked) == asked, "the old resolver is still asked"
-
-    m.run(play)
+        setup.world.until(lambda: other_server.asked)
+        assert setup.live == {e.listener.address[1] for e in setup.engines}
+        setup.hub.sleep(0.6)
+        assert dict(setup.world.node.owner.peers) == peers  # the same engines and connection pools
+        assert slow_client.read(10).rows == ROWS
+        setup.server.act = lambda asked: Act()
+        asked = len(setup.server.asked)
+        setup.hub.sleep(1.2)
+        assert len(setup.server.asked) == asked, "the old resolver is still queried"
+
+    setup.run(scenario)
--- a/tests/test_starttimes.py
+++ b/tests/test_starttimes.py
@@ -1,4 +1,4 @@
-"""Start times of engines on the program's own clock, whatever the wall clock says; and who may read that."""
+"""Start times of engines on the monotonic clock under wrong wall clocks, and who may read a wall clock."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 from aspenrill.starttimes import StartTimes
 
 ROOT = Path(__file__).resolve().parent.parent
-UNIX = 1_700_000_000.0  # what a true wall clock says at 0 of the monotonic one
-WALL_READERS = {
+UNIX_AT_ZERO = 1_700_000_000.0  # Unix time when the monotonic clock is 0
+WALL_CLOCK_FILES = {
     "aspenrill/starttimes.py",
     "aspenrill/net/wallclock.py",
     "aspenrill/fleet/components.py",
     "aspenrill/fleet/service.py",
-}  # a bound, the log, the hour of UTC, an incarnation
-WALL_CALLS = {"time", "time_ns", "localtime", "gmtime", "ctime", "strftime"}
+}  # in order: an upper bound, the log, the hour of UTC, an incarnation
+WALL_CLOCK_CALLS = {"time", "time_ns", "localtime", "gmtime", "ctime", "strftime"}
 
 
 def member(name: str, born: float, port: int = 1) -> Member:
-    """One that started at that time of the monotonic clock; 0: long ago."""
-    return Member(name, ("127.0.0.1", port), EngineState.LIVE, started=UNIX + born if born else 0.0)
+    """A member that started at that time of the monotonic clock; 0: long ago."""
+    return Member(name, ("127.0.0.1", port), EngineState.LIVE, started=UNIX_AT_ZERO + born if born else 0.0)
 
 
-def starts(wall_off: float = 0.0, most: int = 100, delay: float = 0.0) -> StartTimes:
-    return StartTimes(most, delay, wall=UNIX + 100.0 + wall_off, now=100.0)
+def make_start_times(wall_error: float = 0.0, max_engines: int = 100, delay: float = 0.0) -> StartTimes:
+    return StartTimes(max_engines, delay, wall=UNIX_AT_ZERO + 100.0 + wall_error, now=100.0)
 
 
-def told(times: StartTimes, now: float, *members: Member) -> list[float]:
-    return [m.started for m in times.members(now, members)]
+def convert(start_times: StartTimes, now: float, *members: Member) -> list[float]:
+    return [m.started for m in start_times.members(now, members)]
 
 
-OFF = [0.0, 5.0, -5.0, 3600.0, -3600.0, 86400.0 * 365, -UNIX]
+WALL_CLOCK_ERRORS = [0.0, 5.0, -5.0, 3600.0, -3600.0, 86400.0 * 365, -UNIX_AT_ZERO]
 
 
-@pytest.mark.parametrize("off", OFF)
-def test_a_start_that_is_told_at_once_is_known_exactly(off):
-    times = starts(off)
-    if off >= 0:
-        assert told(times, 200.0, member("a", 200.0)) == pytest.approx([200.0])
+@pytest.mark.parametrize("wall_error", WALL_CLOCK_ERRORS)
+def test_a_start_reported_at_once_is_converted_exactly(wall_error):
+    start_times = make_start_times(wall_error)
+    if wall_error >= 0:
+        assert convert(start_times, 200.0, member("a", 200.0)) == pytest.approx([200.0])
     else:
-        assert told(times, 200.0, member("a", 200.0)) == [200.0]
+        assert convert(start_times, 200.0, member("a", 200.0)) == [200.0]
 
 
 @pytest.mark.parametrize("delay", [0.0, 6.0])
-@pytest.mark.parametrize("off", OFF)
-def test_no_engine_is_taken_for_older_than_by_the_delay_of_news_nor_for_unborn(off, delay):
-    times = starts(off, delay=delay)
+@pytest.mark.parametrize("wall_error", WALL_CLOCK_ERRORS)
+def test_a_start_is_at_most_the_report_delay_too_early_and_never_in_the_future(wall_error, delay):
+    start_times = make_start_times(wall_error, delay=delay)
     for now, born, port in (
         (100.0, 40.0, 1),
         (100.0, 90.0, 2),
@@ -60,85 +60,93 @@
         (106.0, 106.0, 4),
         (130.0, 108.0, 5),
     ):
-        at = told(times, now, member(f"e{port}", born, port))[0]
-        assert born - delay * (off > 0) - 1e-6 <= at <= now
+        at = convert(start_times, now, member(f"e{port}", born, port))[0]
+        assert born - delay * (wall_error > 0) - 1e-6 <= at <= now
 
 
-@pytest.mark.parametrize("late", [0.0, 3.0, 6.0])
-def test_where_the_wall_clock_is_right_late_news_date_a_start_exactly(late):
-    times = starts(delay=6.0)
-    assert told(times, 200.0 + late, member("a", 200.0)) == pytest.approx([200.0])
+@pytest.mark.parametrize("report_delay", [0.0, 3.0, 6.0])
+def test_with_a_correct_wall_clock_late_reports_are_converted_exactly(report_delay):
+    start_times = make_start_times(delay=6.0)
+    assert convert(start_times, 200.0 + report_delay, member("a", 200.0)) == pytest.approx([200.0])
 
 
-def test_after_a_start_of_the_program_the_latest_engine_is_taken_for_no_older_than_news_may_be_late():
-    times = starts(delay=6.0)
-    assert told(times, 100.0, member("a", 20.0, 1), member("b", 95.0, 2)) == pytest.approx([20.0, 95.0])
-    times = starts(delay=6.0)
-    assert told(times, 100.0, member("a", 20.0, 1), member("b", 60.0, 2)) == pytest.approx([54.0, 94.0])
+def test_in_the_first_list_the_latest_start_is_at_most_the_report_delay_ago():
+    start_times = make_start_times(delay=6.0)
+    assert convert(start_times, 100.0, member("a", 20.0, 1), member("b", 95.0, 2)) == pytest.approx(
+        [20.0, 95.0]
+    )
+    start_times = make_start_times(delay=6.0)
+    assert convert(start_times, 100.0, member("a", 20.0, 1), member("b", 60.0, 2)) == pytest.approx(
+        [54.0, 94.0]
+    )
 
 
-def test_what_prompt_news_have_shown_dates_late_news():
-    times = starts(3600.0)
-    told(times, 200.0, member("a", 199.9, 1))
-    assert told(times, 260.0, member("b", 230.0, 2)) == pytest.approx([230.1])
+def test_an_offset_learned_from_a_prompt_report_applies_to_late_reports():
+    start_times = make_start_times(3600.0)
+    convert(start_times, 200.0, member("a", 199.9, 1))
+    assert convert(start_times, 260.0, member("b", 230.0, 2)) == pytest.approx([230.1])
 
 
-def test_a_stamp_from_the_future_makes_no_other_engine_old():
-    times = starts()
-    assert told(times, 200.0, member("wrong", 200.0 + 86400.0, 1)) == [200.0]
-    assert told(times, 201.0, member("new", 200.5, 2)) == pytest.approx([200.5])
+def test_a_start_in_the_future_does_not_shift_other_engines():
+    start_times = make_start_times()
+    assert convert(start_times, 200.0, member("wrong", 200.0 + 86400.0, 1)) == [200.0]
+    assert convert(start_times, 201.0, member("new", 200.5, 2)) == pytest.approx([200.5])
 
 
-def test_a_start_is_dated_better_later_and_the_next_one_is_later_than_all_that_was_told():
-    times = starts()
-    assert told(times, 100.0, member("a", 50.0)) == [100.0]  # the latest in its list: it may be new
-    told(times, 150.0, member("b", 150.0, 2))  # told at once: the clocks are known now
-    assert told(times, 160.0, member("a", 50.0)) == pytest.approx([50.0])
-    assert told(times, 161.0, member("a", 99.0))[0] > 100.0  # restarted before it was told of first
+def test_an_estimate_improves_and_a_restart_is_later_than_all_estimates_sent():
+    start_times = make_start_times()
+    assert convert(start_times, 100.0, member("a", 50.0)) == [
+        100.0
+    ]  # no offset is known yet: it may be recent
+    convert(start_times, 150.0, member("b", 150.0, 2))  # reported at once: the offset is known now
+    assert convert(start_times, 160.0, member("a", 50.0)) == pytest.approx([50.0])
+    assert convert(start_times, 161.0, member("a", 99.0))[0] > 100.0  # restarted before the first report
 
 
-def test_news_that_tell_the_clocks_better_date_others_anew_once():
-    times = starts()
-    times.news(100.0, News(1, True, (member("a", 50.0, 1), member("b", 60.0, 2), member("old", 0.0, 3))))
-    event = times.news(150.0, News(2, False, (member("c", 149.9, 4),)))
+def test_a_better_clock_offset_corrects_other_engines_once():
+    start_times = make_start_times()
+    start_times.convert_update(
+        100.0, News(1, True, (member("a", 50.0, 1), member("b", 60.0, 2), member("old", 0.0, 3)))
+    )
+    event = start_times.convert_update(150.0, News(2, False, (member("c", 149.9, 4),)))
     dates = {m.engine: m.started for m in event.members}
     assert not event.whole and dates == pytest.approx({"a": 50.1, "b": 60.1, "c": 150.0})
-    slightly = times.news(160.0, News(3, False, (member("d", 159.93, 5),)))
-    assert [m.engine for m in slightly.members] == ["d"]
+    small_correction = start_times.convert_update(160.0, News(3, False, (member("d", 159.93, 5),)))
+    assert [m.engine for m in small_correction.members] == ["d"]
     gone = replace(member("a", 50.0, 1), state=EngineState.GONE)
-    assert times.news(170.0, News(4, False, (gone,))).members[0].state is EngineState.GONE
+    assert start_times.convert_update(170.0, News(4, False, (gone,))).members[0].state is EngineState.GONE
 
 
-def test_who_started_long_ago_stays_so():
-    assert told(starts(), 100.0, member("a", 0.0)) == [0.0]
+def test_an_engine_that_started_long_ago_keeps_zero():
+    assert convert(make_start_times(), 100.0, member("a", 0.0)) == [0.0]
 
 
-def test_what_is_remembered_is_bounded_and_a_whole_list_forgets():
-    times = starts(most=3)
+def test_stored_starts_are_limited_and_a_complete_list_replaces_them():
+    start_times = make_start_times(max_engines=3)
     for port in range(1, 9):
-        told(times, 100.0 + port, member(f"e{port}", 100.0 + port, port))
-    assert len(times._starts) == 3
-    times.news(200.0, News(1, True, (member("e8", 108.0, 8), member("old", 0.0, 9))))
-    assert list(times._starts) == [("127.0.0.1", 8)]
+        convert(start_times, 100.0 + port, member(f"e{port}", 100.0 + port, port))
+    assert len(start_times._starts) == 3
+    start_times.convert_update(200.0, News(1, True, (member("e8", 108.0, 8), member("old", 0.0, 9))))
+    assert list(start_times._starts) == [("127.0.0.1", 8)]
 
 
-def test_a_machine_that_has_just_booted_takes_an_old_start_for_a_start():
-    times = StartTimes(10, wall=UNIX, now=1.0)
+def test_starts_before_boot_stay_positive_and_finite():
+    start_times = StartTimes(10, wall=UNIX_AT_ZERO, now=1.0)
     assert (
         0.0
-        < told(
-            times,
+        < convert(
+            start_times,
             1.0,
-            Member("a", ("h", 1), EngineState.LIVE, started=UNIX - 9.0),
-            Member("b", ("h", 2), EngineState.LIVE, started=UNIX),
+            Member("a", ("h", 1), EngineState.LIVE, started=UNIX_AT_ZERO - 9.0),
+            Member("b", ("h", 2), EngineState.LIVE, started=UNIX_AT_ZERO),
         )[0]
         < 1.0
     )
-    assert math.isfinite(told(times, 2.0, Member("a", ("h", 1), EngineState.LIVE, started=5.0))[0])
+    assert math.isfinite(convert(start_times, 2.0, Member("a", ("h", 1), EngineState.LIVE, started=5.0))[0])
 
 
-def wall_calls(file: Path) -> list[int]:
-    """Lines that read the wall clock."""
+def wall_clock_lines(file: Path) -> list[int]:
+    """Numbers of the lines that read the wall clock."""
     found = []
     for node in ast.walk(ast.parse(file.read_text())):
         name = (
@@ -148,7 +156,7 @@
             and (node.value.id == "time")
             else None
         )
-        if name in WALL_CALLS or name == "CLOCK_REALTIME":
+        if name in WALL_CLOCK_CALLS or name == "CLOCK_REALTIME":
             found.append(node.lineno)
         elif isinstance(node, ast.ImportFrom) and node.module == "time":
             found.append(node.lineno)
@@ -159,6 +167,8 @@
     return found
 
 
-def test_only_those_who_measure_no_span_read_the_wall_clock():
-    readers = {str(file.relative_to(ROOT)) for file in (ROOT / "aspenrill").rglob("*.py") if wall_calls(file)}
-    assert readers == WALL_READERS
+def test_only_listed_files_read_the_wall_clock():
+    wall_clock_files = {
+        str(file.relative_to(ROOT)) for file in (ROOT / "aspenrill").rglob("*.py") if wall_clock_lines(file)
+    }
+    assert wall_clock_files == WALL_CLOCK_FILES
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""The tool as a new user would run it, and the program's own reading of configurations."""
+"""The command-line tool, and how the program reads and reloads its configuration."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from standins.clients import Reply, TdsClient
 from standins.world import ROWS, HttpEngine
 
-GOOD = TEMPLATE.replace("@NAME@", "billing").replace("@LISTEN@", "127.0.0.1:0")
+VALID_FILE = TEMPLATE.replace("@NAME@", "billing").replace("@LISTEN@", "127.0.0.1:0")
 
 
 def test_write_then_check_then_records(tmp_path, capsys):
@@ -77,16 +77,18 @@
         ('address = "127.0.0.1:14331"', 'address = "localhost:1"', ["source[0].engine[0].address"]),
     ],
 )
-def test_check_names_every_fault_by_its_field(tmp_path, capsys, old, new, faults):
-    assert old in GOOD
+def test_check_reports_every_fault_by_its_field(tmp_path, capsys, old, new, faults):
+    assert old in VALID_FILE
     path = tmp_path / "a.toml"
-    path.write_text(GOOD.replace(old, new, 1))
+    path.write_text(VALID_FILE.replace(old, new, 1))
     assert main(["check", str(path)]) == 1
     lines = capsys.readouterr().err.splitlines()
     assert [line.split(": ")[1] for line in lines] == faults
 
 
-OLDER = re.sub(r"# Where the list of engines.*?(?=# Guards)", "", GOOD, flags=re.S)
+LEGACY_FILE = re.sub(
+    r"# Sources of the list of engines.*?(?=# Limits that protect engines)", "", VALID_FILE, flags=re.S
+)
 
 
 @pytest.mark.parametrize(
@@ -96,21 +98,21 @@
         ('source = "list"\nengine = [{name = "e", address = "127.0.0.1:1"}]', ("list", "", 1)),
     ],
 )
-def test_the_older_form_with_one_source_still_reads(more, found):
-    app, faults = application.read(OLDER.replace("[engines]\n", f"[engines]\n{more}\n"))
+def test_the_older_form_with_one_source_is_still_accepted(more, found):
+    app, faults = application.read(LEGACY_FILE.replace("[engines]\n", f"[engines]\n{more}\n"))
     assert not faults
     [source] = app.sources.sources
     assert (source.type, source.resolver, len(source.engines)) == found
     assert [r.servers for r in app.sources.resolvers] == ([(("::1", 53),)] if found[1] else [])
 
 
-def test_the_template_with_all_its_comments_taken_off_is_good():
-    text = re.sub(r"^# (?=\[|[a-z_]+ = )", "", GOOD, flags=re.M)
+def test_the_template_with_all_fields_uncommented_is_valid():
+    text = re.sub(r"^# (?=\[|[a-z_]+ = )", "", VALID_FILE, flags=re.M)
     app, faults = application.read(text.replace('allow = ["10.0.0.0/8"', 'allow = ["127.0.0.0/8"'))
     assert not faults and app.sources.summary == "list, srv" and app.sources.allow
 
 
-INFO = {
+PLATFORM_SETTINGS = {
     "classes": [
         {"name": "lookup", "effect": "repeatable", "on_time_ns": 10**9, "give_up_ns": 5 * 10**9, "new": 1}
     ],
@@ -119,23 +121,23 @@
     "unknown": {"x": 1},
     "tenants": [],
 }
-CONFIG = {
+NODE_CONFIGURATION = {
     "name": "n1",
     "listen": "127.0.0.1:0",
     "seed": "1f",
     "limits": {"sockets": 256},
     "bulletin": "127.0.0.1:9",
     "known": {"no": 0, "items": []},
-    "settings": INFO,
+    "settings": PLATFORM_SETTINGS,
     "more": 1,
 }
 
 
-def start(tmp_path, config, *words):
+def start_program(tmp_path, config, *arguments):
     path = tmp_path / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
     return subprocess.Popen(
-        [sys.executable, "-m", "aspenrill", *words],
+        [sys.executable, "-m", "aspenrill", *arguments],
         stderr=subprocess.PIPE,
         text=True,
         env={"NODE_CONFIG": str(path), "PATH": ""},
@@ -143,12 +145,12 @@
 
 
 @pytest.mark.parametrize(
-    "change, named",
+    "override, expected_text",
     [
         ({"listen": "nowhere"}, "listen"),
         ({"bulletin": 5}, "bulletin"),
         ({"settings": None}, "settings"),
-        ({"settings": {**INFO, "classes": [{"name": "a"}]}}, "effect"),
+        ({"settings": {**PLATFORM_SETTINGS, "classes": [{"name": "a"}]}}, "effect"),
         ({"known": {"no": 0}}, "known.items"),
         ({"known": {"no": 1, "items": [{}]}}, "known.items[0]"),
         ({"seed": "xyz"}, "seed"),
@@ -184,45 +186,45 @@
         ),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_named_in_one_line(tmp_path, change, named):
-    child = start(tmp_path, change if isinstance(change, str) else CONFIG | change)
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path, override, expected_text):
+    child = start_program(tmp_path, override if isinstance(override, str) else NODE_CONFIGURATION | override)
     err = child.communicate(timeout=20)[1]
-    assert child.returncode == 2 and err.count("\n") == 1 and named in err
+    assert child.returncode == 2 and err.count("\n") == 1 and expected_text in err
 
 
 def port_of(pid: int) -> int:
-    """The port on which a process listens, from the system's table of sockets."""
+    """Wait until a process listens, and return the port from /proc/net/tcp."""
     import os
 
-    until = time.monotonic() + 20
-    while time.monotonic() < until:
+    deadline = time.monotonic() + 20
+    while time.monotonic() < deadline:
         try:
             fds = [os.readlink(f"/proc/{pid}/fd/{fd}") for fd in os.listdir(f"/proc/{pid}/fd")]
         except OSError:
             fds = []
         for line in open("/proc/net/tcp").read().splitlines()[1:]:
-            part = line.split()
-            if part[3] == "0A" and f"socket:[{part[9]}]" in fds:
-                return int(part[1].split(":")[1], 16)
+            fields = line.split()
+            if fields[3] == "0A" and f"socket:[{fields[9]}]" in fds:
+                return int(fields[1].split(":")[1], 16)
         time.sleep(0.05)
-    raise AssertionError("nothing listens")
+    raise AssertionError("the process does not listen")
 
 
 def receive(sock: socket.socket, count: int) -> bytes:
     data = b""
     while len(data) < count:
-        piece = sock.recv(count - len(data))
-        assert piece, "closed"
-        data += piece
+        chunk = sock.recv(count - len(data))
+        assert chunk, "closed"
+        data += chunk
     return data
 
 
-def test_the_program_serves_thrift_and_leaves_on_sigterm(tmp_path):
-    # no engine is listed: a request is answered all the same, also after SIGTERM; the exit is clean
-    child = start(tmp_path, CONFIG)
+def test_the_program_serves_thrift_and_ends_after_sigterm(tmp_path):
+    # without engines, requests are still answered, also after SIGTERM, and the process exits with 0
+    child = start_program(tmp_path, NODE_CONFIGURATION)
     port = port_of(child.pid)
 
-    def ask(sock, seqid: int, name: str, body: bytes):
+    def call(sock, seqid: int, name: str, body: bytes):
         sock.sendall(thrift.frame(thrift.CALL, name, seqid, body))
         return thrift.read_message(receive(sock, int.from_bytes(receive(sock, 4), "big")))
 
@@ -231,104 +233,107 @@
     ) + thrift.field(thrift.STRING, 2, thrift.blob(b"select 1"))
     with socket.create_connection(("127.0.0.1", port), 10) as sock:
         sock.settimeout(10)
-        assert ask(sock, 1, "isWell", b"").args[0][3] is True
-        assert 1 in ask(sock, 2, "serve", body).args
+        assert call(sock, 1, "isWell", b"").args[0][3] is True
+        assert 1 in call(sock, 2, "serve", body).args
         child.send_signal(signal.SIGTERM)
         time.sleep(0.3)
-        assert ask(sock, 3, "isWell", b"").args[0][3] is False
-        assert 1 in ask(sock, 4, "serve", body).args
+        assert call(sock, 3, "isWell", b"").args[0][3] is False
+        assert 1 in call(sock, 4, "serve", body).args
     assert child.wait(10) == 0 and "Traceback" not in child.stderr.read()
 
 
-def greeted(listener: socket.socket) -> tuple[socket.socket, bytes]:
-    """The connection of a front end that asks a bulletin, and what it wrote first."""
+def accept_bulletin_client(listener: socket.socket) -> tuple[socket.socket, bytes]:
+    """Accept the connection of a front end to a bulletin, and read its first 8 bytes."""
     listener.settimeout(10)
     conn = listener.accept()[0]
     conn.settimeout(10)
     return conn, receive(conn, 8)
 
 
-def test_sighup_rereads_the_file_and_a_bad_one_changes_nothing(tmp_path):
-    # by default the signal ends a program, and every request in it is lost
+def test_sighup_reloads_the_file_and_an_invalid_one_changes_nothing(tmp_path):
+    # the default action of SIGHUP would end the program and lose its requests
     old, new = socket.create_server(("127.0.0.1", 0)), socket.create_server(("127.0.0.1", 0))
-    told = CONFIG | {"bulletin": f"127.0.0.1:{old.getsockname()[1]}", "known": {"no": 7, "items": []}}
-    child = start(tmp_path, told)
-    conn, number = greeted(old)
+    document = NODE_CONFIGURATION | {
+        "bulletin": f"127.0.0.1:{old.getsockname()[1]}",
+        "known": {"no": 7, "items": []},
+    }
+    child = start_program(tmp_path, document)
+    conn, number = accept_bulletin_client(old)
     assert int.from_bytes(number, "big") == 7
     path = tmp_path / "config.json"
-    whole = json.dumps(told | {"bulletin": f"127.0.0.1:{new.getsockname()[1]}"})
-    path.write_text(whole[: len(whole) // 2])
+    new_text = json.dumps(document | {"bulletin": f"127.0.0.1:{new.getsockname()[1]}"})
+    path.write_text(new_text[: len(new_text) // 2])
     child.send_signal(signal.SIGHUP)
     line = child.stderr.readline()
     assert "old one stays" in line and "NODE_CONFIG" in line and child.poll() is None
-    path.write_text(whole)
+    path.write_text(new_text)
     child.send_signal(signal.SIGHUP)
-    assert int.from_bytes(greeted(new)[1], "big") == 7
-    assert conn.recv(1) == b""  # the old one is dropped
+    assert int.from_bytes(accept_bulletin_client(new)[1], "big") == 7
+    assert conn.recv(1) == b""  # the connection to the old bulletin is closed
     child.send_signal(signal.SIGTERM)
     assert child.wait(10) == 0 and "Traceback" not in child.stderr.read()
 
 
-def logged(child, words: str) -> str:
-    """The next line of its log that has the words; connections that end have lines of their own."""
+def wait_for_log_line(child, text: str) -> str:
+    """The next log line that contains the text. Others, as of closed connections, are skipped."""
     line = child.stderr.readline()
-    while words not in line:
-        assert line, f"its log ended without {words!r}"
+    while text not in line:
+        assert line, f"its log ended without {text!r}"
         line = child.stderr.readline()
     return line
 
 
 def test_sighup_gives_a_sidecar_new_logins_and_keeps_its_port(tmp_path):
     path = tmp_path / "billing.toml"
-    known = GOOD.replace('user = "*"', 'user = "other"')
-    path.write_text(known)
-    child = start(tmp_path, CONFIG, str(path))
+    valid_text = VALID_FILE.replace('user = "*"', 'user = "other"')
+    path.write_text(valid_text)
+    child = start_program(tmp_path, NODE_CONFIGURATION, str(path))
     port = port_of(child.pid)
 
-    def code(user: str) -> int:
+    def login_reply(user: str) -> int:
         with socket.create_connection(("127.0.0.1", port), 10) as sock:
             sock.settimeout(10)
             sock.sendall(tds.packets(tds.LOGIN7, tds.login7(tds.Login(user, "settle"))))
             return receive(sock, tds.packet_head(receive(sock, 8))[2])[0]
 
-    assert (code("clerk"), code("newcomer")) == (tds.LOGINACK, tds.ERROR)
+    assert (login_reply("clerk"), login_reply("newcomer")) == (tds.LOGINACK, tds.ERROR)
     path.write_text("[")
     child.send_signal(signal.SIGHUP)
-    assert logged(child, "old one stays")
-    path.write_text(known.replace('user = "clerk"', 'user = "newcomer"'))
+    assert wait_for_log_line(child, "old one stays")
+    path.write_text(valid_text.replace('user = "clerk"', 'user = "newcomer"'))
     child.send_signal(signal.SIGHUP)
-    assert logged(child, "read again")
-    assert (code("clerk"), code("newcomer")) == (tds.ERROR, tds.LOGINACK)
+    assert wait_for_log_line(child, "read again")
+    assert (login_reply("clerk"), login_reply("newcomer")) == (tds.ERROR, tds.LOGINACK)
     child.send_signal(signal.SIGTERM)
     assert child.wait(10) == 0 and "Traceback" not in child.stderr.read()
 
 
 def test_the_program_serves_an_application_over_tds(tmp_path):
     path = tmp_path / "billing.toml"
-    path.write_text(GOOD)
-    child = start(tmp_path, CONFIG, str(path))
+    path.write_text(VALID_FILE)
+    child = start_program(tmp_path, NODE_CONFIGURATION, str(path))
     port = port_of(child.pid)
     with socket.create_connection(("127.0.0.1", port), 10) as sock:
         sock.settimeout(10)
 
-        def ask(kind: int, body: bytes) -> bytes:
+        def call(kind: int, body: bytes) -> bytes:
             sock.sendall(tds.packets(kind, body))
             return receive(sock, tds.packet_head(receive(sock, 8))[2])
 
-        tds.read_prelogin(ask(tds.PRELOGIN, tds.prelogin()))
-        assert ask(tds.LOGIN7, tds.login7(tds.Login("clerk", "settle")))[0] == tds.LOGINACK
+        tds.read_prelogin(call(tds.PRELOGIN, tds.prelogin()))
+        assert call(tds.LOGIN7, tds.login7(tds.Login("clerk", "settle")))[0] == tds.LOGINACK
         reader = tds.TokenReader(4096)
-        reader.take(ask(tds.SQL_BATCH, tds.sql_batch("select 1")))  # no engine is there
+        reader.take(call(tds.SQL_BATCH, tds.sql_batch("select 1")))  # there is no engine
         assert reader.answer.error[0] in (50001, 50002)
         sock.sendall(struct.pack(">BBHHBB", 1, 1, 2, 0, 0, 0))
     child.send_signal(signal.SIGTERM)
     assert child.wait(10) == 0 and "Traceback" not in child.stderr.read()
 
 
-def test_a_platform_node_serves_tds_where_its_file_says_so(tmp_path):
-    # TDS clients and HTTP engines meet at the same owner: rows of text become rows of TDS
-    logged = []
-    hub = Hub(logged.append)
+def test_a_platform_node_serves_tds_if_its_file_enables_it(tmp_path):
+    # TDS clients are served by HTTP engines: rows of text are converted to TDS rows
+    log_lines = []
+    hub = Hub(log_lines.append)
     engine = HttpEngine(hub, "s-00000001")
     host = {
         "host": engine.name,
@@ -337,9 +342,9 @@
         "class": "k",
         "health": "in_service",
     }
-    known = {"no": 1, "items": [{"no": 1, "roster": {"whole": True, "hosts": [host]}}]}
+    initial_lists = {"no": 1, "items": [{"no": 1, "roster": {"whole": True, "hosts": [host]}}]}
     config, front = tmp_path / "config.json", tmp_path / "tds.toml"
-    config.write_text(json.dumps(CONFIG | {"known": known}))
+    config.write_text(json.dumps(NODE_CONFIGURATION | {"known": initial_lists}))
     text = (
         'name = "n"\nenabled = %s\nlisten = "127.0.0.1:0"\n[[login]]\nuser = "*"\nclass = "lookup"\n'
         "timeout_ms = 5000\n"
@@ -350,23 +355,26 @@
     node = platform(hub, {"NODE_CONFIG": str(config)}, front)
     replies = []
 
-    def play():
+    def scenario():
         world = SimpleNamespace(hub=hub, address=node.fronts[1][1].address)
         replies.append(TdsClient(world, "anyone", 5).ask("select 1 from sales_1.x"))
         hub.stop()
 
-    hub.spawn(play)
+    hub.spawn(scenario)
     hub.run()
-    assert replies == [Reply("served", ROWS)], logged
+    assert replies == [Reply("served", ROWS)], log_lines
     assert engine.statements == ["select 1 from sales_1.x"]
     front.write_text(text.replace("lookup", "nothing") % "true")
     with pytest.raises(ConfigError, match=r"login\[0\].class"):
         platform(hub, {"NODE_CONFIG": str(config)}, front)
 
 
-def test_front_ends_are_counted_up_to_what_a_large_fleet_has():
-    # 1,000 was the most; a trial plays more
+def test_front_ends_is_limited_to_65536():
+    # a former limit of 1,000 was too low for large trials
     for count, faults in ((1024, 0), (65536, 0), (0, 1), (65537, 1)):
-        text = re.sub(r"(?m)^front_ends = .*$", f"front_ends = {count}", GOOD)
-        found, said = application.read(text)
-        assert len(said) == faults and (faults or found.settings.gateways == count), (count, said)
+        text = re.sub(r"(?m)^front_ends = .*$", f"front_ends = {count}", VALID_FILE)
+        found, found_faults = application.read(text)
+        assert len(found_faults) == faults and (faults or found.settings.gateways == count), (
+            count,
+            found_faults,
+        )
