--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -315,7 +315,7 @@
         config.most_engines,
     )
     bulletin.start()
-    reload_fleet = _fleet(hub, node, fleet_file, config.classes, config.tenants)
+    reload_fleet = _join_fleet(hub, node, fleet_file, config.classes, config.tenants)
 
     def read_again() -> None:
         now = read_config(env, hub.sleep)
@@ -356,7 +356,7 @@
         node.listen(found.listen, tds.Service(hub, found.logins, node.post, found.name), "tds", 0.05)
 
 
-def _fleet(
+def _join_fleet(
     hub: Hub, node: Node, path: Path, classes: Sequence[str] = (), tenants: Sequence[str] = ()
 ) -> Callable[[], None]:
     """Join the fleet if its file enables it. Returns the function that reads the file again."""
--- a/aspenrill/sidecar.py
+++ b/aspenrill/sidecar.py
@@ -17,7 +17,7 @@
 from .node import ConfigError, Node
 
 
-def _application(path: str, pause: Callable[[float], None] = time.sleep) -> application.Application:
+def _read_application(path: str, pause: Callable[[float], None] = time.sleep) -> application.Application:
     """Read an application's file. Raises ConfigError with its first fault. `pause`: see `read_config`."""
     try:
         app, faults = application.read(retry(lambda: Path(path).read_text(encoding="utf-8"), READ_FOR, pause))
@@ -33,7 +33,7 @@
     return app
 
 
-def _fleet(
+def _join_fleet(
     hub: Hub, node: Node, app: application.Application, read: Callable[[], dict[str, Any]]
 ) -> Callable[[], None]:
     """Join the fleet if [fleet] enables it. Returns the function that reads the table again."""
@@ -46,7 +46,7 @@
 
 def sidecar(hub: Hub, path: str) -> Node:
     """Build the front end that an application's file describes."""
-    app = _application(path)
+    app = _read_application(path)
     node = Node(
         hub,
         app.settings,
@@ -61,11 +61,11 @@
     if app.enabled:
         service = tds.Service(hub, app.logins, node.post, app.name)
         node.listen(app.listen, service, "tds")
-    reload_fleet = _fleet(hub, node, app, lambda: _application(path).fleet or {})
+    reload_fleet = _join_fleet(hub, node, app, lambda: _read_application(path).fleet or {})
 
     def read_again() -> None:
         nonlocal app
-        new_app = _application(path, hub.sleep)
+        new_app = _read_application(path, hub.sleep)
         if (new_app.settings, new_app.kinds, new_app.listen, new_app.enabled) != (
             app.settings,
             app.kinds,
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -31,16 +31,16 @@
             if isinstance(node, ast.ClassDef):
                 found = {ast.unparse(base).split(".")[-1] for base in node.bases}
                 classes.append((node.name, path, {imported_names.get(name, name) for name in found}))
-    base_files, previous_count = {"Trouble": "aspenrill/errors.py"}, 0
-    while len(base_files) > previous_count:
-        previous_count = len(base_files)
-        base_files |= {
+    error_files, previous_count = {"Trouble": "aspenrill/errors.py"}, 0
+    while len(error_files) > previous_count:
+        previous_count = len(error_files)
+        error_files |= {
             name: path
             for name, path, base_names in classes
-            if base_names & base_files.keys() and name not in base_files
+            if base_names & error_files.keys() and name not in error_files
         }
-    del base_files["Trouble"]
-    return base_files
+    del error_files["Trouble"]
+    return error_files
 
 
 def program_sources() -> dict[str, str]:
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -317,7 +317,8 @@
 
 def test_a_platform_node_does_not_import_the_fleet():
     code = (
-        "import sys; from aspenrill import start, node; print(node._fleet(None, None, node.FLEET_FILE)); "
+        "import sys; from aspenrill import start, node; "
+        "print(node._join_fleet(None, None, node.FLEET_FILE)); "
         "print([m for m in sys.modules if 'aspenrill.fleet' in m or m in ('msgspec', 'sqlite3')])"
     )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
