--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -30,7 +30,7 @@
 
     def start(self, attempt: Attempt) -> None: ...
     def cancel(self, attempt: Attempt) -> None: ...
-    def rank(self, attempt: Attempt, priority: int) -> None: ...
+    def set_priority(self, attempt: Attempt, priority: int) -> None: ...
     def probe(self, peer: Peer) -> None: ...
     def retire(self, peer: Peer) -> None: ...
 
@@ -52,7 +52,7 @@
         self.most_engines = MOST_ENGINES  # in the list: it bounds the memory
         self.tell: Callable[[bytes], None] = lambda data: None  # sends gossip to all other front ends
         self.kept: Any = None  # `fleet.kept.front.Kept`, if answers are cached or purged
-        self.fleet: Any = None  # `fleet.feed.Feed`, which counts arrivals and ends
+        self.fleet: Any = None  # `fleet.request_feed.RequestFeed`, which counts arrivals and ends
 
     def run(self) -> None:
         """Process events until the process exits."""
@@ -115,7 +115,7 @@
         if self.closed:
             return  # `_on_closing` has answered it
         if self.fleet is not None:
-            self.fleet.asked(request)
+            self.fleet.on_request(request)
         patience = request.deadline - time.monotonic()  # less what it waited here
         self._decide(
             api.Request(
@@ -145,7 +145,7 @@
         if self.kept is not None:
             freed = self.kept.ended(request, end.result if ok else None, self.kept.clock())
         if ok and self.fleet is not None:
-            self.fleet.ended(end)
+            self.fleet.on_attempt_ended(end)
         if ok and request.open:
             if now <= request.deadline + EXPIRY_GRACE:
                 self._final(request, Served(end.result))
@@ -213,7 +213,7 @@
         if end.peer.retired:
             return  # the probe went to the previous process with this id
         if self.fleet is not None:
-            self.fleet.probed(end)
+            self.fleet.on_probe_result(end)
         self._decide(api.ProbeEnded(end.peer.engine, end.outcome, end.latency, end.report))
 
     def _on_heard(self, heard: books.Heard) -> None:
@@ -283,7 +283,7 @@
     def _fault(self, what: str) -> None:
         """Report the error that is being handled to the operator."""
         self.faults += 1
-        self.hub.report(what, traceback.format_exc())
+        self.hub.report_error(what, traceback.format_exc())
 
     def _fail_request(self, request_id: str | None, request: Call | None) -> None:
         """Fail a request after an internal error and end it in the decision module."""
@@ -309,13 +309,13 @@
                     request.priority = priority
                     if request.attempt is not None and request.attempt.priority != priority:
                         request.attempt.priority = priority
-                        self.engines.rank(request.attempt, priority)
+                        self.engines.set_priority(request.attempt, priority)
             case api.Refuse(request_id, retry_after, reason):
                 request = self.open.get(request_id)
                 if request is not None:
                     self.request_log.refused(request, reason)
                 if self.fleet is not None and request is not None:
-                    self.fleet.refused(request)
+                    self.fleet.on_refused(request)
                 self._final(request, Refused(retry_after))
             case api.Fail(request_id, reason):
                 request = self.open.get(request_id)
--- a/aspenrill/fleet/peers/link.py
+++ b/aspenrill/fleet/peers/link.py
@@ -10,12 +10,12 @@
 
 from ...errors import WireTrouble
 from ...net.address import family_of
-from ...net.conn import AGAIN, Connection
+from ...net.conn import WOULD_BLOCK, Connection
 from ...net.connecting import Refused, connect
 from ...net.hub import READ, Closed, Hub, TimedOut
 from ...net.listener import Listener
 from .exchange import MAX_FRAME, NONCE_BYTES, Exchange
-from .node import Peers
+from .node import PeerNode
 from .wire import MAX_DATAGRAM
 
 Address = tuple[str, int]
@@ -35,7 +35,7 @@
         self, hub: Hub, listen: Address, clock: Callable[[], float], on_change: Callable[[], None]
     ) -> None:
         self.hub, self.clock, self.on_change = hub, clock, on_change
-        self.peers: Peers | None = None
+        self.peers: PeerNode | None = None
         self.unsent = self.sent = self.received = self.exchanges = self.failed_exchanges = 0
         self.outgoing = 0
         self.open = True
@@ -74,7 +74,7 @@
         while received < DATAGRAM_BATCH:
             try:
                 data, address = self.sock.recvfrom(MAX_DATAGRAM + 1)
-            except AGAIN:
+            except WOULD_BLOCK:
                 if received:
                     break
                 try:
@@ -90,13 +90,13 @@
             self.received += 1
             self.peers.on_datagram(self.clock(), address[:2], data)
         else:
-            self.hub.give_way()  # more may be waiting: yield, so that a flood does not starve other tasks
+            self.hub.yield_now()  # more may be waiting: yield, so that a flood does not starve other tasks
 
     def flush(self) -> None:
         """Send the pending datagrams and start the pending exchanges. A datagram that the kernel does not
         accept is dropped, as it may be by the network."""
         peers = self.peers
-        for address, data in peers.take_out():
+        for address, data in peers.take_datagrams():
             try:
                 self.sock.sendto(data, address)
                 self.sent += 1
@@ -115,8 +115,8 @@
         exchange: Exchange | None = None
         try:
             conn = connect(self.hub, address, until, source=self.address[0])
-            exchange = self.peers.calling(boot_id, os.urandom(NONCE_BYTES))
-            self._write(conn, exchange.greet(), until)
+            exchange = self.peers.start_exchange(boot_id, os.urandom(NONCE_BYTES))
+            self._write(conn, exchange.start(), until)
             self._run(conn, exchange, until)
             conn.read(1, until)  # wait for the other side to close
         except Closed:
@@ -128,7 +128,7 @@
             self.outgoing -= 1
             if conn is not None:
                 conn.close()
-            done = exchange is not None and exchange.over
+            done = exchange is not None and exchange.done
             self.exchanges += done
             if not done:
                 self.failed_exchanges += 1
@@ -137,7 +137,7 @@
     def _serve(self, conn: Connection) -> None:
         until = self.hub.timers.clock() + EXCHANGE_TIMEOUT
         try:
-            self._run(conn, self.peers.called(os.urandom(NONCE_BYTES)), until)
+            self._run(conn, self.peers.accept_exchange(os.urandom(NONCE_BYTES)), until)
         except WireTrouble as why:
             try:
                 address = conn.sock.getpeername()[:2]
@@ -147,19 +147,19 @@
 
     def _run(self, conn: Connection, exchange: Exchange, until: float) -> None:
         conn.busy = 1
-        while not exchange.over:
-            data, start, end = conn.frame(MAX_FRAME, until)
-            conn.spoke = True
+        while not exchange.done:
+            data, start, end = conn.read_frame(MAX_FRAME, until)
+            conn.received_message = True
             try:
-                for frame in exchange.take(self.clock(), bytes(data[start:end])):
+                for frame in exchange.receive(self.clock(), bytes(data[start:end])):
                     self._write(conn, frame, until)
             except (WireTrouble, Closed, TimedOut):
                 raise
             except Exception:
-                self.hub.report("fleet exchange", traceback.format_exc())
+                self.hub.report_error("fleet exchange", traceback.format_exc())
                 raise Closed("not understood") from None
             self.on_change()
-            self.hub.give_way()
+            self.hub.yield_now()
 
     def _write(self, conn: Connection, frame: bytes, until: float) -> None:
         conn.write(len(frame).to_bytes(4, "big") + frame, until)
--- a/aspenrill/start.py
+++ b/aspenrill/start.py
@@ -15,7 +15,7 @@
 
 from .net.hub import READ, Hub
 from .net.logwriter import LogWriter
-from .net.scarcity import START_FOR, retry
+from .net.retrying import START_RETRY_TIMEOUT, retry
 
 if TYPE_CHECKING:
     from .node import Node
@@ -40,7 +40,7 @@
 
 def on_signal(hub: Hub, number: int, handler: Callable[[], None]) -> None:
     """Run `handler` in a task after each arrival of the signal."""
-    receiving_end, sending_end = retry(socket.socketpair, START_FOR)
+    receiving_end, sending_end = retry(socket.socketpair, START_RETRY_TIMEOUT)
     receiving_end.setblocking(False)
     sending_end.setblocking(False)
 
@@ -67,7 +67,7 @@
             try:
                 handler()
             except Exception:
-                hub.report(f"signal {number}", traceback.format_exc())
+                hub.report_error(f"signal {number}", traceback.format_exc())
 
     hub.spawn(handle_signals, name="signal")
 
