--- a/aspenrill/application.py
+++ b/aspenrill/application.py
@@ -8,7 +8,7 @@
 
 from . import api, sources
 from .fronts.tds import LoginMapping
-from .reader import Reader, unique
+from .reader import Reader, check_unique
 from .wire import Malformed, dns
 
 EFFECTS = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
@@ -59,7 +59,7 @@
         row.fault("wanted_ms", "must not be beyond give_up_ms")
     if spec.effect is api.Effect.KEYED and not spec.dedup_window:
         row.fault("repeat_window_ms", "missing; expected the time for which engines drop a repeat of a key")
-    row.end()
+    row.reject_unknown_fields()
     return name, spec
 
 
@@ -79,13 +79,13 @@
         row.number("timeout_ms", None, 1, MAX_MS) / 1000,
         key,
     )
-    row.end()
+    row.reject_unknown_fields()
     return mapping
 
 
 def _read_engines(top: Reader, platform: bool) -> dict[str, Any]:
     """Read [engines]: login, time-outs, kinds and sources. `platform`: the platform may be the source."""
-    row = top.table_of("engines")
+    row = top.subtable("engines")
     found: dict[str, Any] = {
         "user": row.text("user", "aspenrill"),
         "app": row.text("app", "aspenrill"),
@@ -97,9 +97,9 @@
         kinds.append(
             (kind.text("name"), int(kind.number("cores", None, 1, 100000)), kind.number("memory_mb", 0, 0))
         )
-        kind.end()
+        kind.reject_unknown_fields()
     names = tuple(k[0] for k in kinds)
-    unique(row, "kind", list(names))
+    check_unique(row, "kind", list(names))
     if not kinds:
         row.fault("kind", "expected at least one [[engines.kind]]")
     if platform and "source" not in top.table and row.table.get("source") == "platform":
@@ -108,7 +108,7 @@
     else:
         found["sources"] = sources.read(top, row, names)
         found["source"] = found["sources"].summary
-    row.end()
+    row.reject_unknown_fields()
     return {
         **found,
         "kinds": names,
@@ -144,11 +144,11 @@
     tenants = []
     for row in top.tables("tenant"):
         tenants.append((row.text("name"), row.number("per_s", 1e9, 0.001)))
-        row.end()
+        row.reject_unknown_fields()
     names, tenant_names = tuple(c[0] for c in classes), tuple(t[0] for t in tenants)
     keyed = [c[1].effect is api.Effect.KEYED for c in classes]
-    unique(top, "class", list(names))
-    unique(top, "tenant", list(tenant_names))
+    check_unique(top, "class", list(names))
+    check_unique(top, "tenant", list(tenant_names))
     engine_settings: dict[str, Any] = {"source": "platform"}
     settings = None
     if "engines" in top.table or platform is None:
@@ -161,10 +161,10 @@
     elif not classes:
         top.fault("class", "expected at least one [[class]]")
     logins = [_read_login(row, names, keyed, tenant_names) for row in top.tables("login")]
-    unique(top, "login", [(m.user, m.app) for m in logins])
+    check_unique(top, "login", [(m.user, m.app) for m in logins])
     if not logins:
         top.fault("login", "expected at least one [[login]]")
-    rules = top.table_of("rules")
+    rules = top.subtable("rules")
     rule_settings = {
         "gateways": int(rules.number("front_ends", 1, 1, 65536)),
         "most_attempts": int(rules.number("most_attempts", 3, 1, 100)),
@@ -174,15 +174,15 @@
         "fall_window": rules.number("fall_ms", 1500, 0, MAX_MS) / 1000,
     }
     rule_settings["me"] = int(rules.number("front_end", 1, 1, rule_settings["gateways"])) - 1
-    rules.end()
-    limits = top.table_of("limits")
+    rules.reject_unknown_fields()
+    limits = top.subtable("limits")
     memory, sockets = (
         int(limits.number("memory_mb", 192, 48, 1 << 20)),
         int(limits.number("sockets", 1024, 64, 1 << 20)),
     )
-    limits.end()
-    fleet = top.raw("fleet", dict, {}, "a table")
-    top.end()
+    limits.reject_unknown_fields()
+    fleet = top.typed_value("fleet", dict, {}, "a table")
+    top.reject_unknown_fields()
     if faults:
         return None, faults
     if engine_settings["source"] != "platform":
--- a/aspenrill/core/enginelist.py
+++ b/aspenrill/core/enginelist.py
@@ -5,21 +5,25 @@
 from collections.abc import Callable
 
 from ..api import EngineState
-from ..members import News
+from ..members import EngineListUpdate
 from .books import Peer
 
 
-def limit_list(update: News, peers: dict[str, Peer], limit: int, log: Callable[[str], None]) -> News:
+def limit_list(
+    update: EngineListUpdate, peers: dict[str, Peer], limit: int, log: Callable[[str], None]
+) -> EngineListUpdate:
     """The update; or, where the list would exceed `limit` engines, only its entries on known engines."""
     new = sum(member.engine not in peers for member in update.members)
-    count = len(update.members) if update.whole else len(peers) + new
+    count = len(update.members) if update.complete else len(peers) + new
     if not new or count <= limit:
         return update
     log(f"list of {count} engines refused: memory allows {limit}; the previous list stays in use")
-    return News(update.number, False, tuple(member for member in update.members if member.engine in peers))
+    return EngineListUpdate(
+        update.number, False, tuple(member for member in update.members if member.engine in peers)
+    )
 
 
-def update_peers(update: News, peers: dict[str, Peer]) -> list[Peer]:
+def update_peers(update: EngineListUpdate, peers: dict[str, Peer]) -> list[Peer]:
     """Update the records and return those that take no more work or were replaced by another process."""
     retired: list[Peer] = []
     for member in update.members:
@@ -33,7 +37,7 @@
         known.state = member.state
         if not known.takes_work:
             retired.append(known)
-    if update.whole:
+    if update.complete:
         named = {member.engine for member in update.members}
         for engine, peer in peers.items():
             if engine not in named:
--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -13,7 +13,7 @@
 
 from .. import api
 from ..control import Gateway
-from ..members import News
+from ..members import EngineListUpdate
 from ..net.hub import Hub, Queue
 from . import books
 from .books import Attempt, Call, Failed, Final, Peer, Refused, Served
@@ -228,7 +228,7 @@
         for request in list(self.open.values()):
             self._final(request, Failed("ending"))
 
-    def _on_news(self, news: News) -> None:
+    def _on_news(self, news: EngineListUpdate) -> None:
         news = limit_list(news, self.peers, self.most_engines, self.hub.log)
         retired = update_peers(news, self.peers)
         for peer in retired:  # all are marked: even after an error here none gets work
@@ -237,7 +237,7 @@
             except Exception:
                 self._fault(f"owner, retiring {peer.engine}")
         mode = api.ListMode.CHANGES
-        if news.whole:
+        if news.complete:
             mode = api.ListMode.COMPLETE if self.listed else api.ListMode.REMEMBERED
         self.listed = True
         self._decide(
@@ -391,7 +391,7 @@
         books.Unfit: _on_unfit,
         books.Heard: _on_heard,
         books.Tired: _on_tired,
-        News: _on_news,
+        EngineListUpdate: _on_news,
         api.ClientGone: _decide,
         api.AttemptEnded: _decide,
     }
--- a/aspenrill/fleet/components.py
+++ b/aspenrill/fleet/components.py
@@ -130,7 +130,7 @@
         row.fault("beat_s", "a third of lease_s at most")
     retry_window, retry_base = row.number("retry_span_s", 10.0, 0.1, 3600), row.number("retry_free", 0.0, 0)
     retry_ratio = row.number("retry_ratio", 0.1, 0, 10)
-    row.end()
+    row.reject_unknown_fields()
     if not enabled or config.faults:
         return None
     return OverloadComponent(
@@ -154,7 +154,7 @@
         row.fault(
             "longest_s", f"at least lease_s of purges, {purge_settings.lease:g}, is wanted, got {longest:g}"
         )
-    row.end()
+    row.reject_unknown_fields()
     if not enabled or config.faults:
         return None if not enabled else AuthorityRules(config.voters)
     return AuthorityRules(config.voters, lease, renew, margin, longest)
@@ -162,7 +162,7 @@
 
 def _groups(row: Reader, config: Config, components: Components) -> GroupRules | None:
     enabled = _enabled(row, config)
-    schedule, splits = row.table_of("schedule"), row.table_of("splits")
+    schedule, splits = row.subtable("schedule"), row.subtable("splits")
     defaults, split_defaults = ScheduleRules(1.0), SplitRules()
     window = int(schedule.number("window_h", defaults.window, 1, 24))
     rules = ScheduleRules(
@@ -173,7 +173,7 @@
         margin=int(schedule.number("margin_h", defaults.margin, 0, 24 * 60)),
         window=window,
     )
-    schedule.end()
+    schedule.reject_unknown_fields()
     split_rules = SplitRules(
         most_at_once=int(splits.number("most_at_once", split_defaults.most_at_once, 1, 16)),
         notice=splits.number("notice_s", split_defaults.notice, 0, 7 * 86400),
@@ -181,22 +181,22 @@
         spread=splits.number("spread_s", split_defaults.spread, 1, 86400),
         window=window,
     )
-    splits.end()
+    splits.reject_unknown_fields()
     sizes = {}
-    table = row.table_of("sizes")
+    table = row.subtable("sizes")
     for name in table.table:
         size = table.number(name, None, 0, 1e18)
         if name.isascii() and name.isdigit() and int(name) <= MAX_GROUP:
             sizes[int(name)] = float(size)
         else:
             table.fault(name, "the number of a table group is wanted")
-    components.splits_file, components.cancelled_splits = row.text("file", ""), tuple(row.texts("call_off"))
+    components.splits_file, components.cancelled_splits = row.text("file", ""), tuple(row.strings("call_off"))
     homes = int(row.number("homes", 1, 1, 16))
     send_interval, store_interval = (
         row.number("tell_s", 60.0, 0.1, 3600),
         row.number("store_s", 300.0, 0.1, 3600),
     )
-    row.end()
+    row.reject_unknown_fields()
     return (
         GroupRules(config.voters, rules, homes, send_interval, store_interval, sizes, splits=split_rules)
         if enabled
--- a/aspenrill/fleet/config.py
+++ b/aspenrill/fleet/config.py
@@ -9,7 +9,7 @@
 
 from ..errors import FleetConfigTrouble
 from ..net.address import parse_address
-from ..reader import Reader, unique
+from ..reader import Reader, check_unique
 from .interface import MAX_PEERS, Place
 from .peers.detector import Timing
 
@@ -65,12 +65,12 @@
 
 def _addresses(top: Reader, name: str) -> tuple[Address, ...]:
     found = []
-    for index, text in enumerate(top.texts(name)):
+    for index, text in enumerate(top.strings(name)):
         try:
             found.append(parse_address(text))
         except ValueError:
             top.fault(f"{name}[{index}]", f"ADDRESS:PORT with a numeric address is wanted, got {text!r}")
-    unique(top, name, found)
+    check_unique(top, name, found)
     return tuple(found)
 
 
@@ -92,7 +92,7 @@
         forget_after=row.number("forget_s", defaults.forget_after, 10, 10 * 86400),
         entries_kept=row.number("entries_s", defaults.entries_kept, 5, 86400),
     )
-    row.end()
+    row.reject_unknown_fields()
     return timing
 
 
@@ -103,8 +103,8 @@
     top.seen.add("advertise")
     if advertise is None and listen[0] in ("0.0.0.0", "::"):
         top.fault("advertise", "missing; with listen at every address, others must be told one of them")
-    voters = top.texts("voters")
-    unique(top, "voters", voters)
+    voters = top.strings("voters")
+    check_unique(top, "voters", voters)
     config = Config(
         enabled=top.flag("enabled", False),
         name=_name(top, "name"),
@@ -118,11 +118,11 @@
         voters=tuple(voters),
         front_ends=int(top.number("front_ends", 1, 1, MAX_PEERS)),
         alone=top.number("alone", 0.5, 0, 1),
-        timing=_timing(top.table_of("times")),
-        tables={name: top.table_of(name) for name in COMPONENTS},
+        timing=_timing(top.subtable("times")),
+        tables={name: top.subtable(name) for name in COMPONENTS},
         faults=top.faults,
     )
-    top.end()
+    top.reject_unknown_fields()
     return config
 
 
--- a/aspenrill/fleet/joining.py
+++ b/aspenrill/fleet/joining.py
@@ -75,7 +75,7 @@
             bridge.started()
         node.owner.fleet = feed = RequestFeed(node.owner, components, bridge)
         hub.spawn(lambda: _run_feed(hub, service, feed), name="feed")
-    node.goodbye = service.leave
+    node.announce_leave = service.leave
 
     def reload() -> None:
         table = read()
--- a/aspenrill/fleet/kept/policy.py
+++ b/aspenrill/fleet/kept/policy.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 
 from ... import api
-from ...reader import Reader, unique
+from ...reader import Reader, check_unique
 from .store import Bounds
 
 
@@ -71,7 +71,7 @@
     fleet: Reader, names: Sequence[str], classes: Sequence[api.QueryClass], tenants: Sequence[str]
 ) -> Policy:
     """The policy of `[fleet.kept]`; without rules if absent or disabled. Faults go to the reader."""
-    row = fleet.table_of("kept")
+    row = fleet.subtable("kept")
     enabled = row.flag("enabled", False)
     bounds = Bounds(
         int(row.number("most_entries", 10_000, 1, 10_000_000)),
@@ -83,7 +83,7 @@
     listed = []
     for table in row.tables("class"):
         name, seconds = table.choice("name", tuple(names)), table.number("seconds", None, 0.05, 3600)
-        allowed = table.texts("tenants")
+        allowed = table.strings("tenants")
         for tenant in allowed:
             if tenant not in tenants:
                 table.fault("tenants", f"no such tenant: {tenant!r}")
@@ -101,21 +101,21 @@
                 if allowed
                 else None,
             )
-        table.end()
-    unique(row, "class", listed)
-    row.end()
+        table.reject_unknown_fields()
+    check_unique(row, "class", listed)
+    row.reject_unknown_fields()
     loads = frozenset(at for at, cls in enumerate(classes) if cls.is_load)
     return Policy(rules if enabled else {}, loads, bounds, joins, wait)
 
 
 def read_purges(fleet: Reader) -> PurgeSettings:
     """The settings of `[fleet.purges]`. Faults go to the reader."""
-    row = fleet.table_of("purges")
+    row = fleet.subtable("purges")
     found = PurgeSettings(
         row.number("lease_s", 6.0, 1.0, 60.0),
         row.text("folder", ""),
         row.text("state", ""),
         row.flag("enabled", False),
     )
-    row.end()
+    row.reject_unknown_fields()
     return found
--- a/aspenrill/fleet/purges/orders.py
+++ b/aspenrill/fleet/purges/orders.py
@@ -44,7 +44,7 @@
     elif what == "class":
         scope = scopes.of_class(top.choice("class", tuple(classes)))
     reason = top.text("why", "")[:MAX_REASON]
-    top.end()
+    top.reject_unknown_fields()
     if not faults and not scopes.valid(scope):
         top.fault("class", "a name of at most 64 characters is wanted")
     if faults:
@@ -57,7 +57,7 @@
 
 
 def _group_number(row: Reader, name: str) -> int:
-    value = row.raw(name, int, None, "the number of a table group")
+    value = row.typed_value(name, int, None, "the number of a table group")
     if value is not None and not 0 <= value <= 999_999_999:
         row.fault(name, f"must be 0 to 999999999, got {value}")
         return 0
--- a/aspenrill/gathering.py
+++ b/aspenrill/gathering.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from .core.owner import MOST_ENGINES
-from .members import News
+from .members import EngineListUpdate
 from .membership.rule import Membership
 from .net.hub import Hub
 from .resolver.client import Resolver
@@ -18,7 +18,7 @@
 from .sources import ResolverSpec, Sources, SourceSpec, address_policy
 
 
-class Gathering:
+class SourceSetup:
     """Starts the watchers and resolvers of the sources, and applies changes of their configuration."""
 
     def __init__(
@@ -32,18 +32,18 @@
     ) -> None:
         self.hub, self.kinds, self.sources = hub, kinds, sources
         self.membership = Membership(sources.rules, sources.specs, clock(), address_policy(sources))
-        self.roster = EngineDiscovery(hub, clock, self.membership, post, most_engines)
+        self.discovery = EngineDiscovery(hub, clock, self.membership, post, most_engines)
         self.resolvers: dict[ResolverSpec, Resolver] = {}
         for source in sources.sources:
             self._start(source)
 
-    def bulletin(self, news: News) -> None:
+    def on_bulletin_update(self, update: EngineListUpdate) -> None:
         """Apply an update of the bulletin if it is one of the sources."""
         for source in self.sources.sources:
             if source.type == "bulletin":
-                self.roster.bulletin_handler(source.name)(news)
+                self.discovery.bulletin_handler(source.name)(update)
 
-    def change(self, sources: Sources) -> None:
+    def reconfigure(self, sources: Sources) -> None:
         """Apply other sources, order, resolvers or rules.
 
         An engine and its running requests are kept while at least one source names it. A source that has not
@@ -51,17 +51,19 @@
         """
         previous, self.sources = self.sources, sources
         old = {source.name: (source, self._resolver_of(previous, source)) for source in previous.sources}
-        self.membership.configure(self.roster.clock(), sources.specs, sources.rules, address_policy(sources))
+        self.membership.configure(
+            self.discovery.clock(), sources.specs, sources.rules, address_policy(sources)
+        )
         names = {source.name for source in sources.sources}
         for source in previous.sources:
             if source.name not in names:
-                self.roster.stop_source(source.name)
+                self.discovery.stop_source(source.name)
         for source in sources.sources:
             if source.type == "list" or old.get(source.name) != (source, self._resolver_of(sources, source)):
                 self._start(source)
         used = {self._resolver_of(sources, source) for source in sources.sources}
         self.resolvers = {spec: resolver for spec, resolver in self.resolvers.items() if spec in used}
-        self.roster.publish_changes()
+        self.discovery.publish_changes()
 
     @staticmethod
     def _resolver_of(sources: Sources, source: SourceSpec) -> ResolverSpec | None:
@@ -69,10 +71,10 @@
 
     def _start(self, source: SourceSpec) -> None:
         if source.type == "list":
-            self.roster.stop_source(source.name)
-            self.roster.on_list(source.name, source.engines)
+            self.discovery.stop_source(source.name)
+            self.discovery.on_list(source.name, source.engines)
         elif source.type != "bulletin":
-            self.roster.start_source(source.name, self._new_watcher(source))
+            self.discovery.start_source(source.name, self._new_watcher(source))
 
     def _new_watcher(self, source: SourceSpec) -> DnsWatcher:
         spec = self.sources.resolver(source.resolver)
@@ -86,7 +88,7 @@
                 resolver,
                 source.service,
                 source.family,
-                self.roster,
+                self.discovery,
                 source.kind,
                 source.zone,
                 source.tier,
@@ -97,7 +99,7 @@
             resolver,
             source.service,
             source.family,
-            self.roster,
+            self.discovery,
             self.kinds,
             source.tier,
         )
--- a/aspenrill/members.py
+++ b/aspenrill/members.py
@@ -29,9 +29,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """A numbered list update; `whole`: it is the complete list, not a change."""
+class EngineListUpdate:
+    """A numbered list update; `complete`: it is the complete list, not a change."""
 
     number: int
-    whole: bool
+    complete: bool
     members: tuple[Member, ...]
--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -19,7 +19,7 @@
 from .engines.http import HttpEngines
 from .engines.pool import Pools
 from .fronts import thrift
-from .members import News
+from .members import EngineListUpdate
 from .net import address as addresses
 from .net.conn import Connection
 from .net.hub import Hub
@@ -69,7 +69,7 @@
     sockets: int
     most_engines: int
     bulletin: tuple[str, int]
-    initial_updates: tuple[News, ...]
+    initial_updates: tuple[EngineListUpdate, ...]
     last_event: int
     settings: api.Settings
     classes: list[str]
@@ -195,7 +195,7 @@
         self.fronts: list[tuple[Any, Listener]] = []
         self.read_again: Callable[[], None] = lambda: None  # called on SIGHUP; raises ConfigError
         self.fleet_facts: Any = None  # the latest `fleet.overload.facts.Facts`, if that component is enabled
-        self.goodbye: Callable[[], None] = lambda: None  # notifies the other front ends, if any
+        self.announce_leave: Callable[[], None] = lambda: None  # notifies the other front ends, if any
         hub.spawn(self.owner.run, name="owner")
         hub.spawn(watch_wall_clock, hub, name="wall clock")
 
@@ -248,7 +248,7 @@
         self._wait_for_clients(sigkill_at - EXIT_MARGIN)
         for _, listener in self.fronts:
             listener.close_all("the program ends")
-        self.goodbye()
+        self.announce_leave()
         self.hub.log(f"left with {len(self.owner.open)} requests open")
         self.hub.stop()
 
@@ -286,11 +286,11 @@
     source_setup = _start_sources(hub, node, sources_file, config.kinds)
     start_times = StartTimes(config.most_engines, min(MAX_BULLETIN_DELAY, config.settings.cold_for / 2))
 
-    def on_bulletin_update(news: News, deliver: Callable[[Any], None]) -> None:
+    def on_bulletin_update(news: EngineListUpdate, deliver: Callable[[Any], None]) -> None:
         if source_setup is None:
             deliver(start_times.convert_update(time.monotonic(), news))
         else:
-            source_setup.bulletin(news)
+            source_setup.on_bulletin_update(news)
 
     for news in config.initial_updates:
         on_bulletin_update(news, node.owner.take)
@@ -325,7 +325,7 @@
         if (now.settings, now.listen, now.sockets) != (config.settings, config.listen, config.sockets):
             hub.log("configuration: settings, listen and limits take effect at the next start")
         if source_setup is not None:
-            source_setup.change(_read_sources(sources_file, config.kinds) or source_setup.sources)
+            source_setup.reconfigure(_read_sources(sources_file, config.kinds) or source_setup.sources)
         bulletin.move(now.bulletin)
         reload_fleet()
 
@@ -389,6 +389,6 @@
     found = _read_sources(path, kinds)
     if found is None:
         return None
-    from .gathering import Gathering
+    from .gathering import SourceSetup
 
-    return Gathering(hub, found, tuple(kinds), node.post, node.owner.most_engines)
+    return SourceSetup(hub, found, tuple(kinds), node.post, node.owner.most_engines)
--- a/aspenrill/reader.py
+++ b/aspenrill/reader.py
@@ -22,7 +22,7 @@
         """Record a fault of a field."""
         self.faults.append(f"{self.path}{name}: {text}")
 
-    def raw(self, name: str, expected_type: type | tuple, default: Any, description: str) -> Any:
+    def typed_value(self, name: str, expected_type: type | tuple, default: Any, description: str) -> Any:
         """A value of the expected type, or the default if the field is absent; without a default, a fault."""
         self.seen.add(name)
         if name not in self.table:
@@ -31,20 +31,20 @@
             return default
         value = self.table[name]
         if not isinstance(value, expected_type) or isinstance(value, bool) and expected_type is not bool:
-            self.fault(name, f"expected {description}, got {value!r}")
+            self.fault(name, f"{description} is wanted, got {value!r}")
             return default
         return value
 
     def text(self, name: str, default: str | None = None) -> str:
         """A string that is not empty, unless the default is."""
-        value = self.raw(name, str, default, "a string")
+        value = self.typed_value(name, str, default, "a string")
         if value == "" and default != "":
             self.fault(name, "must not be empty")
         return value or ""
 
     def number(self, name: str, default: float | None, low: float, high: float = 1e9) -> float:
         """A number within the bounds."""
-        value = self.raw(name, (int, float), default, "a number")
+        value = self.typed_value(name, (int, float), default, "a number")
         if value is None:
             return low
         if not low <= value <= high:
@@ -54,19 +54,19 @@
 
     def flag(self, name: str, default: bool) -> bool:
         """A Boolean value."""
-        return self.raw(name, bool, default, "true or false")
+        return self.typed_value(name, bool, default, "true or false")
 
     def choice(self, name: str, options: tuple[str, ...], default: str | None = None) -> str:
         """One of the options."""
-        value = self.raw(name, str, default, f"one of {', '.join(options) or 'none'}")
+        value = self.typed_value(name, str, default, f"one of {', '.join(options) or 'none'}")
         if value is not None and value not in options:
-            self.fault(name, f"expected one of {', '.join(options) or 'none'}, got {value!r}")
+            self.fault(name, f"one of {', '.join(options) or 'none'} is wanted, got {value!r}")
             return options[0] if options else ""
         return value or (options[0] if options else "")
 
     def address(self, name: str, default: str | None = None) -> tuple[str, int]:
         """An address and a port, written as ADDRESS:PORT with a numeric address."""
-        value = self.raw(name, str, default, "ADDRESS:PORT")
+        value = self.typed_value(name, str, default, "ADDRESS:PORT")
         try:
             return parse_address(value or "")
         except ValueError:
@@ -74,10 +74,10 @@
                 self.fault(name, f"expected ADDRESS:PORT with a numeric address, got {value!r}")
             return "127.0.0.1", 0
 
-    def texts(self, name: str) -> list[str]:
+    def strings(self, name: str) -> list[str]:
         """A list of strings, empty if it is absent."""
         found = []
-        for index, value in enumerate(self.raw(name, list, [], "a list of strings")):
+        for index, value in enumerate(self.typed_value(name, list, [], "a list of strings")):
             if isinstance(value, str) and value:
                 found.append(value)
             else:
@@ -86,7 +86,7 @@
 
     def tables(self, name: str) -> list[Reader]:
         """A reader for each table of a list, none if it is absent."""
-        rows = self.raw(name, list, [], f"a list of [[{self.path}{name}]] tables")
+        rows = self.typed_value(name, list, [], f"a list of [[{self.path}{name}]] tables")
         found = []
         for index, row in enumerate(rows):
             if isinstance(row, dict):
@@ -95,18 +95,18 @@
                 self.fault(f"{name}[{index}]", "expected a table")
         return found
 
-    def table_of(self, name: str) -> Reader:
+    def subtable(self, name: str) -> Reader:
         """A reader for a table within this one, empty if it is absent."""
-        return Reader(self.raw(name, dict, {}, "a table"), f"{self.path}{name}.", self.faults)
+        return Reader(self.typed_value(name, dict, {}, "a table"), f"{self.path}{name}.", self.faults)
 
-    def end(self) -> None:
+    def reject_unknown_fields(self) -> None:
         """Record a fault for each field that was not read, as it is probably misspelt."""
         for name in self.table:
             if name not in self.seen:
                 self.fault(name, "no such field")
 
 
-def unique(top: Reader, name: str, values: Sequence[Any]) -> None:
+def check_unique(top: Reader, name: str, values: Sequence[Any]) -> None:
     """Record a fault for each value that occurs again."""
     for index, value in enumerate(values):
         if value in values[:index]:
--- a/aspenrill/roster/bulletin.py
+++ b/aspenrill/roster/bulletin.py
@@ -26,7 +26,7 @@
 from collections.abc import Callable
 
 from ..api import EngineState
-from ..members import News
+from ..members import EngineListUpdate
 from ..net.conn import Connection
 from ..net.connecting import Refused
 from ..net.hub import Closed, Hub, Task, TimedOut
@@ -51,7 +51,7 @@
         hub: Hub,
         address: tuple[str, int],
         last_event: int,
-        on_update: Callable[[News], None],
+        on_update: Callable[[EngineListUpdate], None],
         max_engines: int = 100_000,
     ) -> None:
         self.hub, self.address, self.last_event, self.on_update = hub, address, last_event, on_update
@@ -97,7 +97,7 @@
             size -= len(chunk)
             members = wire.frame_news(number, kind, chunk).members
             if leaving := tuple(m for m in members if m.state is not EngineState.LIVE):
-                self.on_update(News(number, False, leaving))
+                self.on_update(EngineListUpdate(number, False, leaving))
 
     def _follow(self) -> None:
         conn = self.dialer.dial(self.address)
@@ -129,7 +129,7 @@
                         raise Malformed(f"event {number} again")  # the next event may be missing: reconnect
                     repeated = True  # reconnect unless the next event follows
                     continue
-                if number != self.last_event + 1 and not news.whole:
+                if number != self.last_event + 1 and not news.complete:
                     raise Malformed(f"event {number} after {self.last_event}")
                 self.last_event, no_new_event, repeated = number, False, False
                 self.on_update(news)
--- a/aspenrill/roster/discovery.py
+++ b/aspenrill/roster/discovery.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from ..core.books import Unfit
-from ..members import Member, News
+from ..members import EngineListUpdate, Member
 from ..membership.rule import Membership
 from ..net.hub import Hub
 from ..net.timers import Timer
@@ -58,13 +58,13 @@
     def on_list(self, name: str, members: Sequence[Member], learned_at: float | None = None) -> None:
         """Apply a source's complete list."""
         now = self.clock()
-        self.membership.whole(now, name, self.start_times.members(now, members), learned_at)
+        self.membership.whole(now, name, self.start_times.convert_members(now, members), learned_at)
         self.publish_changes()
 
     def on_changes(self, name: str, members: Sequence[Member]) -> None:
         """Apply changes to a source's list."""
         now = self.clock()
-        self.membership.change(now, name, self.start_times.members(now, members))
+        self.membership.change(now, name, self.start_times.convert_members(now, members))
         self.publish_changes()
 
     def on_failure(self, name: str, why: str) -> None:
@@ -72,11 +72,11 @@
         self.membership.failed(self.clock(), name, why)
         self.publish_changes()
 
-    def bulletin_handler(self, name: str) -> Callable[[News], None]:
+    def bulletin_handler(self, name: str) -> Callable[[EngineListUpdate], None]:
         """Return the handler for bulletin events, which count as reports of the source `name`."""
 
-        def handle(news: News) -> None:
-            (self.on_list if news.whole else self.on_changes)(name, news.members)
+        def handle(news: EngineListUpdate) -> None:
+            (self.on_list if news.complete else self.on_changes)(name, news.members)
 
         return handle
 
@@ -101,7 +101,7 @@
         members = membership.take()
         if members:
             self.event_number += 1
-            self.post(News(self.event_number, False, members))
+            self.post(EngineListUpdate(self.event_number, False, members))
         for text in membership.notes:
             self.hub.log(text)
         membership.notes.clear()
--- a/aspenrill/sidecar.py
+++ b/aspenrill/sidecar.py
@@ -11,7 +11,7 @@
 from . import application
 from .engines.tds import TdsEngines, login_handshake
 from .fronts import tds
-from .gathering import Gathering
+from .gathering import SourceSetup
 from .net.hub import Hub
 from .net.retrying import CONFIG_READ_TIMEOUT, retry
 from .node import ConfigError, Node
@@ -59,7 +59,7 @@
         lambda pools, post: TdsEngines(hub, pools, post, app.answer_bytes),
         login_handshake(app.user, app.app),
     )
-    source_setup, service = Gathering(hub, app.sources, app.kinds, node.post, node.owner.most_engines), None
+    source_setup, service = SourceSetup(hub, app.sources, app.kinds, node.post, node.owner.most_engines), None
     if app.enabled:
         service = tds.Service(hub, app.logins, node.post, app.name)
         node.listen(app.listen, service, "tds")
@@ -80,7 +80,7 @@
         app = new_app
         if service is not None:
             service.mappings = new_app.logins
-        source_setup.change(new_app.sources)
+        source_setup.reconfigure(new_app.sources)
         reload_fleet()
 
     node.read_again = read_again
--- a/aspenrill/sources.py
+++ b/aspenrill/sources.py
@@ -15,7 +15,7 @@
 from .membership.flaps import Damping
 from .membership.rule import Rules, Spec
 from .membership.tiers import TierRules
-from .reader import Reader, unique
+from .reader import Reader, check_unique
 from .resolver.cache import Lifetimes
 from .resolver.lookup import Patience
 from .wire import Malformed, dns
@@ -78,13 +78,13 @@
 
 def _read_resolver(row: Reader) -> ResolverSpec:
     name, servers = row.text("name", "default"), []
-    for index, text in enumerate(row.texts("servers")):
+    for index, text in enumerate(row.strings("servers")):
         servers.append(Reader({"at": text}, "", []).address("at"))
         if not servers[-1][1]:
             row.fault(f"servers[{index}]", f"expected ADDRESS:PORT with a numeric address, got {text!r}")
     if not servers:
         row.fault("servers", "expected at least one ADDRESS:PORT")
-    unique(row, "servers", servers)
+    check_unique(row, "servers", servers)
     query_timeout = row.number("question_ms", 1000, 10, 60000) / 1000
     lookup_timeout = row.number("lookup_ms", 5000, 10, 600000) / 1000
     if lookup_timeout < query_timeout:
@@ -102,7 +102,7 @@
         row.number("stale_s", DAY_S, 0, 30 * DAY_S),
         max_entries=int(row.number("entries", 8192, 16, 1 << 20)),
     )
-    row.end()
+    row.reject_unknown_fields()
     return ResolverSpec(name, tuple(servers), Patience(query_timeout, lookup_timeout), lifetimes)
 
 
@@ -135,9 +135,9 @@
                 weight=weight,
             )
         )
-        engine.end()
-    unique(row, "engine", [m.engine for m in members])
-    unique(row, "engine", [m.address for m in members])
+        engine.reject_unknown_fields()
+    check_unique(row, "engine", [m.engine for m in members])
+    check_unique(row, "engine", [m.address for m in members])
     return tuple(members)
 
 
@@ -149,14 +149,14 @@
     shrink = row.number("shrink", 0.5 if source_type in ("dns-sd", "srv") else 1.0, 0, 1)
     spec = Spec(name, names_ids=source_type != "srv", shrink=shrink)
     if source_type == "bulletin":
-        row.end()
+        row.reject_unknown_fields()
         return SourceSpec(name, source_type, spec)
     if source_type == "list":
         weight = row.number("weight", 0, 0, 65535) if "weight" in row.table else None
         engines = _read_members(row, kinds, tier, weight, zone)
         if not engines:
             row.fault("engine", "expected at least one engine table, as type is list")
-        row.end()
+        row.reject_unknown_fields()
         return SourceSpec(name, source_type, spec, zone=zone, tier=tier, engines=engines)
     service = read_service(row)
     resolver = ""
@@ -167,7 +167,7 @@
         row.fault("resolver", "expected at least one [[resolver]]")
     kind = kinds.index(row.choice("kind", kinds, kinds[0])) if source_type == "srv" and kinds else 0
     family = row.choice("family", ADDRESS_FAMILIES, ADDRESS_FAMILIES[0])
-    row.end()
+    row.reject_unknown_fields()
     return SourceSpec(name, source_type, spec, resolver, service, family, kind, zone, tier)
 
 
@@ -186,7 +186,7 @@
 
 
 def _read_rules(top: Reader) -> Rules:
-    row, tiers = top.table_of("membership"), top.table_of("tiers")
+    row, tiers = top.subtable("membership"), top.subtable("tiers")
     first_hold, max_hold = row.number("hold_s", 5, 0.1, DAY_S), row.number("hold_most_s", 300, 0.1, DAY_S)
     if max_hold < first_hold:
         row.fault("hold_most_s", "must not be below hold_s")
@@ -215,13 +215,13 @@
         damping=damping,
         tiers=tier_rules,
     )
-    row.end()
-    tiers.end()
+    row.reject_unknown_fields()
+    tiers.reject_unknown_fields()
     return rules
 
 
 def _read_networks(row: Reader, name: str) -> tuple[str, ...]:
-    texts = row.texts(name)
+    texts = row.strings(name)
     if texts:
         try:
             from .membership.addresses import networks
@@ -242,23 +242,23 @@
     """Read the sources of a file. Faults are recorded in `top`. `engines`: the table of the older form."""
     rows = top.tables("source")
     resolvers = tuple(_read_resolver(row) for row in top.tables("resolver"))
-    unique(top, "resolver", [spec.name for spec in resolvers])
+    check_unique(top, "resolver", [spec.name for spec in resolvers])
     if rows:
         for name in ("source", "resolver", "service", "engine"):
             if name in engines.table:
                 engines.fault(name, "must be in a [[source]] table, as the file has some")
             engines.seen.add(name)
         found = [_read_source(row, kinds, tuple(spec.name for spec in resolvers), types) for row in rows]
-        unique(top, "source", [spec.name for spec in found])
+        check_unique(top, "source", [spec.name for spec in found])
     else:
         if resolvers:
             top.fault("resolver", "needs [[source]] tables, and there are none")
         found, legacy_resolvers = _read_legacy_source(engines, kinds)
         resolvers = tuple(legacy_resolvers) or resolvers
     rules = _read_rules(top)
-    row = top.table_of("addresses")
+    row = top.subtable("addresses")
     allow, deny = _read_networks(row, "allow"), _read_networks(row, "deny")
-    row.end()
+    row.reject_unknown_fields()
     sources = Sources(tuple(found), resolvers, rules, allow, deny)
     _check_listed_addresses(top, sources)
     return sources
@@ -278,7 +278,7 @@
     found = read(top, Reader({}, "engines.", faults), kinds, (*SOURCE_TYPES, "bulletin"))
     if sum(source.type == "bulletin" for source in found.sources) != 1:
         top.fault("source", "expected exactly one of type bulletin")
-    top.end()
+    top.reject_unknown_fields()
     return (None if faults else found), faults
 
 
--- a/aspenrill/starttimes.py
+++ b/aspenrill/starttimes.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from .members import Member, News
+from .members import EngineListUpdate, Member
 
 MIN_RESTART_INTERVAL = 1e-6  # seconds between two starts of one engine, so that the later one is greater
 MIN_START = 1e-6  # seconds; 0 means that it started long ago
@@ -57,13 +57,13 @@
         self._min_offset = self._sent_offset = float("inf")
         self._starts: dict[Address, _Start] = {}  # the last reported one is last
 
-    def convert_update(self, now: float, update: News) -> News:
+    def convert_update(self, now: float, update: EngineListUpdate) -> EngineListUpdate:
         """Convert a list update, and add other engines whose estimates it improves.
 
         A complete list removes the stored engines that it does not contain.
         """
-        members = self.members(now, update.members)
-        if update.whole:
+        members = self.convert_members(now, update.members)
+        if update.complete:
             named = {member.address for member in members if member.started}
             self._starts = {address: start for address, start in self._starts.items() if address in named}
         elif self._min_offset < self._sent_offset - MIN_CORRECTION:
@@ -71,7 +71,7 @@
         self._sent_offset = min(self._sent_offset, self._min_offset)
         return replace(update, members=members)
 
-    def members(self, now: float, members: Sequence[Member]) -> tuple[Member, ...]:
+    def convert_members(self, now: float, members: Sequence[Member]) -> tuple[Member, ...]:
         """Convert members to start times on the monotonic clock."""
         for member in members:
             if member.started:
--- a/aspenrill/tool/sources.py
+++ b/aspenrill/tool/sources.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .. import application
-from ..gathering import Gathering
+from ..gathering import SourceSetup
 from ..net.address import format_address
 from ..net.hub import Hub
 
@@ -25,7 +25,7 @@
     log_lines: list[str] = []
     hub = hub or Hub()
     hub.log = log_lines.append
-    source_setup = Gathering(hub, app.sources, app.kinds, lambda event: None)
+    source_setup = SourceSetup(hub, app.sources, app.kinds, lambda event: None)
     found: dict[str, Any] = {}
 
     def wait() -> None:
@@ -41,7 +41,7 @@
     return found, log_lines
 
 
-def build_report(source_setup: Gathering, kinds: tuple[str, ...], now: float) -> dict[str, Any]:
+def build_report(source_setup: SourceSetup, kinds: tuple[str, ...], now: float) -> dict[str, Any]:
     """The state of the sources and of the merged list, ready for JSON; times in seconds."""
     membership, types = source_setup.membership, {s.name: s.type for s in source_setup.sources.sources}
     sources = []
--- a/aspenrill/wire/bulletin.py
+++ b/aspenrill/wire/bulletin.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ..api import EngineState
-from ..members import Member, News
+from ..members import EngineListUpdate, Member
 from . import Malformed
 
 HEAD = struct.Struct(">IQB")  # length of the rest of the frame, number, kind
@@ -44,7 +44,7 @@
     return size // RECORD.size
 
 
-def frame_news(number: int, kind: int, payload: bytes) -> News | None:
+def frame_news(number: int, kind: int, payload: bytes) -> EngineListUpdate | None:
     """Decodes the update in a frame; None if the frame carries none."""
     if kind == NOTHING:
         return None
@@ -65,10 +65,10 @@
                 started / 1000,
             )
         )
-    return News(number, kind == WHOLE, tuple(members))
+    return EngineListUpdate(number, kind == WHOLE, tuple(members))
 
 
-def json_news(item: dict[str, Any], zones: list[str], kinds: list[str]) -> News:
+def json_news(item: dict[str, Any], zones: list[str], kinds: list[str]) -> EngineListUpdate:
     """Decodes an update in the JSON form of the configuration."""
     try:
         roster = item["roster"]
@@ -86,6 +86,6 @@
                     host.get("born_ms", 0) / 1000,
                 )
             )
-        return News(int(item["no"]), bool(roster["whole"]), tuple(members))
+        return EngineListUpdate(int(item["no"]), bool(roster["whole"]), tuple(members))
     except (KeyError, ValueError, TypeError, AttributeError) as error:
         raise Malformed(f"event of the bulletin: {type(error).__name__} {error}") from None
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -99,7 +99,7 @@
     """Build the node and measure; runs in a process of its own."""
     from aspenrill import api, start  # noqa: F401 (as the program: all imports come first)
     from aspenrill.core.books import Asked, Call, Ended
-    from aspenrill.members import News
+    from aspenrill.members import EngineListUpdate
     from aspenrill.net.hub import Hub
     from aspenrill.node import platform
     from aspenrill.wire.bulletin import json_news
@@ -130,7 +130,7 @@
     def send_list_update(members: tuple, complete: bool) -> None:
         nonlocal update_number
         update_number += 1
-        owner.take(News(update_number, complete, members))
+        owner.take(EngineListUpdate(update_number, complete, members))
 
     def send_request(at: int) -> None:
         cls = at % 20 // 15 + (at % 20 == 19)
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -18,7 +18,7 @@
 
 from aspenrill import api
 from aspenrill import sources as config
-from aspenrill.gathering import Gathering
+from aspenrill.gathering import SourceSetup
 from aspenrill.members import Member
 from aspenrill.membership.flaps import Damping
 from aspenrill.membership.rule import Membership, Spec
@@ -61,7 +61,7 @@
     """Three engines, the first two of them announced by SRV records, and a front end that watches these."""
     world = World("thrift", 3, listed=False)
     server = NameServer(world.hub)
-    Gathering(world.hub, sources_of(server, rules), ("std",), world.node.post)
+    SourceSetup(world.hub, sources_of(server, rules), ("std",), world.node.post)
     announce(server, world.engines[:2])
     return world, server
 
@@ -216,7 +216,7 @@
     def scenario() -> None:
         began = time.monotonic()
         for index in range(3):
-            Gathering(
+            SourceSetup(
                 hub, sources_of(server, patience=Patience(2.0, 8.0), family="ipv4"), ("std",), post(index)
             )
         while min(members_received) < targets:
--- a/standins/world.py
+++ b/standins/world.py
@@ -12,7 +12,7 @@
 from aspenrill.engines.tds import TdsEngines, login_handshake, read_packet
 from aspenrill.fronts import tds as tds_front
 from aspenrill.fronts import thrift as thrift_front
-from aspenrill.members import Member, News
+from aspenrill.members import EngineListUpdate, Member
 from aspenrill.net.conn import Connection
 from aspenrill.net.hub import Closed, Hub, TimedOut
 from aspenrill.net.listener import Listener
@@ -312,7 +312,7 @@
     def tell(self, members: list[Member], whole: bool = False) -> None:
         """Post a list update to the program."""
         self.number += 1
-        self.node.post(News(self.number, whole, tuple(members)))
+        self.node.post(EngineListUpdate(self.number, whole, tuple(members)))
 
     def client(self, cls: str = "lookup", timeout: float = 5.0) -> ThriftClient | TdsClient:
         """Connect a client of the world's protocol."""
--- a/tests/merged.py
+++ b/tests/merged.py
@@ -6,7 +6,7 @@
 
 from aspenrill import api
 from aspenrill import sources as config
-from aspenrill.gathering import Gathering
+from aspenrill.gathering import SourceSetup
 from aspenrill.membership.flaps import Damping
 from aspenrill.membership.rule import Spec
 from aspenrill.membership.rules import Rules
@@ -49,15 +49,17 @@
             "dns-sd": config.SourceSpec("instances", "dns-sd", Spec("instances", True, 0.5), "main", SD),
         }
         self.sources = config.Sources(tuple(rows[name] for name in types.split()), (self.resolver,), rules)
-        self.gathering: Gathering | None = None
+        self.source_setup: SourceSetup | None = None
 
     def begin(self) -> None:
         """Starts the sources."""
-        self.gathering = Gathering(self.hub, self.sources, ("std",), self.world.node.post)
+        self.source_setup = SourceSetup(self.hub, self.sources, ("std",), self.world.node.post)
 
     def roster(self, *rows, whole: bool = False) -> None:
         """Reports rows of the bulletin, as changes or as the complete list."""
-        (self.gathering.roster.on_list if whole else self.gathering.roster.on_changes)("roster", rows)
+        (self.source_setup.discovery.on_list if whole else self.source_setup.discovery.on_changes)(
+            "roster", rows
+        )
 
     def srv(self, *engines, ttl: int = 1, **more) -> None:
         """Replaces the SRV records of the service."""
--- a/tests/silentfront.py
+++ b/tests/silentfront.py
@@ -7,7 +7,7 @@
 from aspenrill import api
 from aspenrill.core import books
 from aspenrill.core.owner import Owner
-from aspenrill.members import Member, News
+from aspenrill.members import EngineListUpdate, Member
 from aspenrill.net.hub import Hub
 
 
@@ -39,7 +39,9 @@
         self.hub, self.engines = Hub(print), Engines()
         self.owner = Owner(self.hub, api.Settings(classes=SPECS, cores_by_kind=(8,)), 1, self.engines)
         self.owner.take(
-            News(1, True, tuple(Member(name, ("127.0.0.1", 1), api.EngineState.LIVE) for name in ("x", "y")))
+            EngineListUpdate(
+                1, True, tuple(Member(name, ("127.0.0.1", 1), api.EngineState.LIVE) for name in ("x", "y"))
+            )
         )
         self.answers: list[tuple[str, object]] = []
 
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -294,7 +294,7 @@
         with pytest.raises(ConfigError, match="new start"):
             again[0]()
         for one in (first, second):
-            one.goodbye()
+            one.announce_leave()
 
     world.run(scene)
 
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -382,6 +382,6 @@
     found = config.read_text(text)
     assert found.place == Place("a", "b") and found.seeds == (("127.0.0.1", 1),) and not found.enabled
     row = found.tables["overload"]
-    row.end()
+    row.reject_unknown_fields()
     with pytest.raises(FleetConfigTrouble, match="fleet.overload.x"):
         found.check()
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -10,7 +10,7 @@
 from aspenrill import api
 from aspenrill.core import books
 from aspenrill.core.owner import Owner
-from aspenrill.members import Member, News
+from aspenrill.members import EngineListUpdate, Member
 from aspenrill.net.hub import Hub
 from standins.scene import play
 from standins.world import SETTINGS
@@ -38,7 +38,7 @@
             ),
         )
         members = tuple(Member(name, ("127.0.0.1", 80), api.EngineState.LIVE) for name in (BAD, FINE))
-        self.owner.take(News(1, True, members))
+        self.owner.take(EngineListUpdate(1, True, members))
         self.calls = {
             name: books.Call(name, 0, 0, b"", None, None, time.monotonic(), 60.0, self.reply)
             for name in (BAD, FINE)
@@ -145,7 +145,7 @@
     fixture = OwnerFixture()
     fixture.breaks = "retire"
     fixture.play(
-        News(
+        EngineListUpdate(
             2, False, tuple(Member(name, ("127.0.0.1", 80), api.EngineState.DRAINING) for name in (BAD, FINE))
         )
     )
@@ -158,7 +158,7 @@
     before = fixture.owner.peers[BAD]
     fixture.owner.gateway.handle = lambda now, event: events.append(event) or []
     fixture.play(
-        News(2, False, (Member(BAD, ("127.0.0.1", 80), api.EngineState.LIVE, started=9.0),)),
+        EngineListUpdate(2, False, (Member(BAD, ("127.0.0.1", 80), api.EngineState.LIVE, started=9.0),)),
         books.Probed(before, api.Outcome.CONNECT_FAILED, 0.1, None),
         books.Probed(fixture.owner.peers[FINE], api.Outcome.OK, 0.1, None),
     )
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -11,7 +11,7 @@
 
 from aspenrill.api import EngineState
 from aspenrill.core.owner import Owner
-from aspenrill.members import Member, News
+from aspenrill.members import EngineListUpdate, Member
 from aspenrill.net.conn import Connection
 from aspenrill.net.hub import Hub
 from aspenrill.net.listener import Listener
@@ -137,7 +137,7 @@
     listener = Listener(hub, ("127.0.0.1", 0), serve, 10, "bulletin")
     hub.spawn(bulletin_watcher.BulletinWatcher(hub, listener.address, 4, news.append, 2048).run)
     play(hub, lambda: until(hub, lambda: len(news) == 2))
-    assert [n.number for n in news] == [5, 6] and not news[0].whole
+    assert [n.number for n in news] == [5, 6] and not news[0].complete
     assert [m.state for m in news[0].members] == [EngineState.DRAINING]
     assert len(logged) == 1 and "3000 engines refused" in logged[0] and "2048" in logged[0]
 
@@ -148,11 +148,11 @@
     owner = Owner(Hub(lambda text: logged.append(text)), world.SETTINGS, 1, engines)
     owner.most_engines = 3
     members = [Member(f"e{i}", ("127.0.0.1", 80 + i), EngineState.LIVE) for i in range(5)]
-    owner.take(News(1, True, tuple(members[:3])))
+    owner.take(EngineListUpdate(1, True, tuple(members[:3])))
     draining = replace(members[0], state=EngineState.DRAINING)
-    owner.take(News(2, False, (draining, members[3])))
-    owner.take(News(3, True, tuple(members)))
+    owner.take(EngineListUpdate(2, False, (draining, members[3])))
+    owner.take(EngineListUpdate(3, True, tuple(members)))
     assert set(owner.peers) == {"e0", "e1", "e2"} and len(logged) == 2 and "list of 5 engines" in logged[1]
     assert len(owner.gateway.live) == 3  # the complete list has brought e0 back
-    owner.take(News(4, False, (draining,)))
+    owner.take(EngineListUpdate(4, False, (draining,)))
     assert [e.entry.engine for e in owner.gateway.live] == ["e1", "e2"]
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -9,7 +9,7 @@
 from merged import ROSTER, SD, SERVICE, Merged
 
 from aspenrill import api
-from aspenrill.gathering import Gathering
+from aspenrill.gathering import SourceSetup
 from standins.nameserver import Act, NameServer
 from standins.world import ROWS, SETTINGS, World
 from standins.world import Act as EngineBehaviour
@@ -249,7 +249,9 @@
     front_ends = []
     for me in range(3):
         world = World(protocol, 0, replace(front_settings, me=me), listed=False, hub=first_setup.hub)
-        front_ends.append((world, Gathering(first_setup.hub, first_setup.sources, ("std",), world.node.post)))
+        front_ends.append(
+            (world, SourceSetup(first_setup.hub, first_setup.sources, ("std",), world.node.post))
+        )
 
     def scenario():
         first_setup.srv(warm)
@@ -292,7 +294,7 @@
         other_server.zone, other_server.act = setup.server.zone, lambda asked: Act(delay=0.15)
         records = replace(setup.sources.sources[1], name="others")
         setup.server.act = lambda asked: Act(lose=True)
-        setup.gathering.change(
+        setup.source_setup.reconfigure(
             replace(
                 setup.sources,
                 sources=(records, ROSTER),
--- a/tests/test_starttimes.py
+++ b/tests/test_starttimes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from aspenrill.api import EngineState
-from aspenrill.members import Member, News
+from aspenrill.members import EngineListUpdate, Member
 from aspenrill.starttimes import StartTimes
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -34,7 +34,7 @@
 
 
 def convert(start_times: StartTimes, now: float, *members: Member) -> list[float]:
-    return [m.started for m in start_times.members(now, members)]
+    return [m.started for m in start_times.convert_members(now, members)]
 
 
 WALL_CLOCK_ERRORS = [0.0, 5.0, -5.0, 3600.0, -3600.0, 86400.0 * 365, -UNIX_AT_ZERO]
@@ -106,15 +106,20 @@
 def test_a_better_clock_offset_corrects_other_engines_once():
     start_times = make_start_times()
     start_times.convert_update(
-        100.0, News(1, True, (member("a", 50.0, 1), member("b", 60.0, 2), member("old", 0.0, 3)))
+        100.0, EngineListUpdate(1, True, (member("a", 50.0, 1), member("b", 60.0, 2), member("old", 0.0, 3)))
     )
-    event = start_times.convert_update(150.0, News(2, False, (member("c", 149.9, 4),)))
+    event = start_times.convert_update(150.0, EngineListUpdate(2, False, (member("c", 149.9, 4),)))
     dates = {m.engine: m.started for m in event.members}
-    assert not event.whole and dates == pytest.approx({"a": 50.1, "b": 60.1, "c": 150.0})
-    small_correction = start_times.convert_update(160.0, News(3, False, (member("d", 159.93, 5),)))
+    assert not event.complete and dates == pytest.approx({"a": 50.1, "b": 60.1, "c": 150.0})
+    small_correction = start_times.convert_update(
+        160.0, EngineListUpdate(3, False, (member("d", 159.93, 5),))
+    )
     assert [m.engine for m in small_correction.members] == ["d"]
     gone = replace(member("a", 50.0, 1), state=EngineState.GONE)
-    assert start_times.convert_update(170.0, News(4, False, (gone,))).members[0].state is EngineState.GONE
+    assert (
+        start_times.convert_update(170.0, EngineListUpdate(4, False, (gone,))).members[0].state
+        is EngineState.GONE
+    )
 
 
 def test_an_engine_that_started_long_ago_keeps_zero():
@@ -126,7 +131,9 @@
     for port in range(1, 9):
         convert(start_times, 100.0 + port, member(f"e{port}", 100.0 + port, port))
     assert len(start_times._starts) == 3
-    start_times.convert_update(200.0, News(1, True, (member("e8", 108.0, 8), member("old", 0.0, 9))))
+    start_times.convert_update(
+        200.0, EngineListUpdate(1, True, (member("e8", 108.0, 8), member("old", 0.0, 9)))
+    )
     assert list(start_times._starts) == [("127.0.0.1", 8)]
 
 
