--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from . import api
-from .control import WATCH, shed_after
+from .control import IN_FLIGHT_CHECK_INTERVAL, shed_after
 from .core.books import Closing
 from .core.owner import Owner
 from .engines.base import Engines
@@ -231,13 +231,13 @@
         is closed before EXIT_MARGIN. The signal may have been pending for as long as the event loop lagged.
         """
         began = time.monotonic() - self.hub.lag()
-        self.owner.well = False
+        self.owner.healthy = False
         self.hub.log("leaving")
         sigkill_at = (
-            began + min(max(c.patience for c in self.settings.classes), MAX_DEADLINE_WAIT) + KILL_AFTER
+            began + min(max(c.time_budget for c in self.settings.classes), MAX_DEADLINE_WAIT) + KILL_AFTER
         )
         self.hub.sleep(ACCEPT_AFTER_SIGTERM)
-        self.owner.taking = False
+        self.owner.accepting = False
         for _, listener in self.fronts:
             listener.stop_accepting()
         self._wait_for_clients(sigkill_at - ANSWER_MARGIN)
@@ -282,7 +282,7 @@
         config.connect_for,
         lambda pools, post: HttpEngines(hub, pools, config.settings, config.classes, post),
     )
-    node.owner.most_engines = config.most_engines
+    node.owner.max_engines = config.most_engines
     source_setup = _start_sources(hub, node, sources_file, config.kinds)
     start_times = StartTimes(config.most_engines, min(MAX_BULLETIN_DELAY, config.settings.cold_for / 2))
 
@@ -303,9 +303,9 @@
             keyed,
             config.tenants,
             node.post,
-            lambda: node.owner.well,
+            lambda: node.owner.healthy,
             shed_after(config.settings),
-            min(WATCH, config.settings.longest_come_back),
+            min(IN_FLIGHT_CHECK_INTERVAL, config.settings.max_retry_after),
         ),
         "thrift",
     )
@@ -391,4 +391,4 @@
         return None
     from .gathering import SourceSetup
 
-    return SourceSetup(hub, found, tuple(kinds), node.post, node.owner.most_engines)
+    return SourceSetup(hub, found, tuple(kinds), node.post, node.owner.max_engines)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -248,7 +248,9 @@
         engine.act = lambda s: EngineBehaviour(after=work)
     front_ends = []
     for me in range(3):
-        world = World(protocol, 0, replace(front_settings, me=me), listed=False, hub=first_setup.hub)
+        world = World(
+            protocol, 0, replace(front_settings, gateway_index=me), listed=False, hub=first_setup.hub
+        )
         front_ends.append(
             (world, SourceSetup(first_setup.hub, first_setup.sources, ("std",), world.node.post))
         )
