--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -10,9 +10,8 @@
 
 from aspenrill import api
 from aspenrill.gathering import SourceSetup
-from standins.nameserver import Act, NameServer
-from standins.world import ROWS, SETTINGS, World
-from standins.world import Act as EngineBehaviour
+from standins.nameserver import AnswerBehaviour, NameServer
+from standins.world import ROWS, SETTINGS, EngineBehaviour, World
 
 for_each_protocol = pytest.mark.parametrize("protocol", ["thrift", "tds"])
 
@@ -30,18 +29,18 @@
         setup.roster(setup.world.member(a), setup.world.member(b), whole=True)
         client = setup.world.client()
         for _ in range(20):
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
         assert a.began and b.began
         setup.roster(setup.world.member(a, api.EngineState.DRAINING))
         learned_at = time.monotonic()
-        asked = len(setup.server.asked)
+        asked = len(setup.server.questions)
         while time.monotonic() < learned_at + 2.0:
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
         assert (
             max(at for at, _ in a.began) < learned_at + 0.5
             and max(at for at, _ in b.began) > learned_at + 1.5
         )
-        assert len(setup.server.asked) > asked, "the records were not queried again in the meantime"
+        assert len(setup.server.questions) > asked, "the records were not queried again in the meantime"
 
     setup.run(scenario)
 
@@ -55,10 +54,10 @@
         setup.begin()
         setup.listed(*setup.engines)
         removed, client = setup.engines[2], setup.world.client()
-        removed.act = lambda s: EngineBehaviour(after=1.5 if "long" in s else 0)
+        removed.behaviour = lambda s: EngineBehaviour(after=1.5 if "long" in s else 0)
         slow_client = setup.world.client("usage-report")
         for engine in setup.engines[:2]:
-            engine.act = removed.act
+            engine.behaviour = removed.behaviour
         while not any("long" in s for s in removed.statements):
             slow_client = setup.world.client("usage-report")
             slow_client.send("select long from sales_1.x")
@@ -67,7 +66,7 @@
         setup.listed(*setup.engines[:2])
         learned_at = time.monotonic()
         while time.monotonic() < learned_at + 0.8:
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
         assert max(at for at, _ in removed.began) < learned_at + 0.05
         assert slow_client.read(10).rows == ROWS and not removed.stopped  # the running request is completed
 
@@ -81,15 +80,15 @@
         setup.srv(*setup.engines[:2])
         setup.begin()
         setup.listed(*setup.engines[:2])
-        setup.server.act = lambda asked: Act(lose=True)
+        setup.server.behaviour = lambda asked: AnswerBehaviour(drop=True)
         client, deadline = setup.world.client(), time.monotonic() + 3.0
         while time.monotonic() < deadline:
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
             assert setup.live == {e.listener.address[1] for e in setup.engines[:2]}
             setup.hub.sleep(0.02)
         assert sum("its last list of 2 stays" in line for line in setup.world.logged) == 1
         setup.srv(*setup.engines)
-        setup.server.act = lambda asked: Act()
+        setup.server.behaviour = lambda asked: AnswerBehaviour()
         setup.listed(*setup.engines)
         assert any("answers again" in line for line in setup.world.logged)
 
@@ -99,12 +98,12 @@
 @pytest.mark.parametrize(
     "act, kept",
     [
-        (Act(code=3), False),
-        (Act(), False),
-        (Act(code=2), True),
-        (Act(code=5), True),
-        (Act(truncate=True, stream="stall"), True),
-        (Act(truncate=True, stream="cut"), True),
+        (AnswerBehaviour(code=3), False),
+        (AnswerBehaviour(), False),
+        (AnswerBehaviour(code=2), True),
+        (AnswerBehaviour(code=5), True),
+        (AnswerBehaviour(truncate=True, stream="stall"), True),
+        (AnswerBehaviour(truncate=True, stream="cut"), True),
     ],
     ids=["NXDOMAIN", "empty", "code 2", "code 5", "TCP stalls", "TCP cut"],
 )
@@ -119,7 +118,7 @@
         if not kept:
             setup.server.put(SERVICE, "SRV")
             setup.server.put("more." + SERVICE, "TXT", '"x"')
-        setup.server.act = lambda asked: act if asked.kind == "SRV" else Act()
+        setup.server.behaviour = lambda asked: act if asked.kind == "SRV" else AnswerBehaviour()
         setup.world.until(lambda: any("stays" in s or "second look" in s for s in setup.world.logged))
         assert len(setup.live) == 3
         if kept:
@@ -140,14 +139,14 @@
     [engine] = setup.engines
 
     def scenario():
-        engine.act = lambda s: EngineBehaviour(after=1.2 if "long" in s else 0)
+        engine.behaviour = lambda s: EngineBehaviour(after=1.2 if "long" in s else 0)
         setup.server.put(SD, "PTR", f"old.{SD}")
         setup.instance("old", engine)
         setup.instance("new", engine)
         setup.begin()
         setup.listed(engine)
         slow_client, client = setup.world.client("usage-report"), setup.world.client()
-        assert client.ask("select 1").rows == ROWS
+        assert client.request("select 1").rows == ROWS
         before = next(iter(setup.world.node.owner.peers.values()))
         idle = list(before.idle)
         slow_client.send("select long from sales_1.x")
@@ -156,7 +155,7 @@
         setup.world.until(
             lambda: any("new" in name and p.takes_work for name, p in setup.world.node.owner.peers.items())
         )
-        assert client.ask("select 2").rows == ROWS
+        assert client.request("select 2").rows == ROWS
         assert slow_client.read(10).rows == ROWS and not engine.stopped
         now = setup.world.node.owner.peers[f"new.{SD}".rstrip(".")]
         assert now is not before and now.started > 0 and not before.idle
@@ -197,7 +196,7 @@
         setup.begin()
         setup.listed(*setup.engines)
         for _ in range(8):
-            assert setup.world.client().ask("select 1").rows == ROWS
+            assert setup.world.client().request("select 1").rows == ROWS
         assert all(e.began for e in setup.engines)
         assert all(":" in p.address[0] for p in setup.world.node.owner.peers.values())
 
@@ -220,12 +219,12 @@
         setup.listed(*first)
         client = setup.world.client()
         for _ in range(8):
-            assert client.ask("select 1").rows == ROWS
+            assert client.request("select 1").rows == ROWS
         for engine in first:
-            engine.down()
+            engine.shut_down()
         kinds, deadline = [], time.monotonic() + 6
         while time.monotonic() < deadline and not all(e.began for e in second):
-            kinds.append(client.ask("select 1").kind)
+            kinds.append(client.request("select 1").kind)
             setup.hub.sleep(0.01)
         assert all(e.began for e in second), "the second tier got no requests"
         assert any("tier 7 opens" in line for line in setup.world.logged)
@@ -245,7 +244,7 @@
     first_setup = Merged(protocol, 2, "srv", settings=front_settings)
     warm, cold = first_setup.engines
     for engine in (warm, cold):
-        engine.act = lambda s: EngineBehaviour(after=work)
+        engine.behaviour = lambda s: EngineBehaviour(after=work)
     front_ends = []
     for me in range(3):
         world = World(
@@ -284,7 +283,7 @@
     a, b = setup.engines
 
     def scenario():
-        a.act = b.act = lambda s: EngineBehaviour(after=1.0 if "long" in s else 0)
+        a.behaviour = b.behaviour = lambda s: EngineBehaviour(after=1.0 if "long" in s else 0)
         setup.srv(a, b)
         setup.begin()
         setup.listed(a, b)
@@ -293,9 +292,12 @@
         setup.world.until(lambda: a.running or b.running)
         peers = dict(setup.world.node.owner.peers)
         other_server = NameServer(setup.hub)
-        other_server.zone, other_server.act = setup.server.zone, lambda asked: Act(delay=0.15)
+        other_server.zone, other_server.behaviour = (
+            setup.server.zone,
+            lambda asked: AnswerBehaviour(delay=0.15),
+        )
         records = replace(setup.sources.sources[1], name="others")
-        setup.server.act = lambda asked: Act(lose=True)
+        setup.server.behaviour = lambda asked: AnswerBehaviour(drop=True)
         setup.source_setup.reconfigure(
             replace(
                 setup.sources,
@@ -303,14 +305,14 @@
                 resolvers=(replace(setup.resolver, servers=(other_server.address,)),),
             )
         )
-        setup.world.until(lambda: other_server.asked)
+        setup.world.until(lambda: other_server.questions)
         assert setup.live == {e.listener.address[1] for e in setup.engines}
         setup.hub.sleep(0.6)
         assert dict(setup.world.node.owner.peers) == peers  # the same engines and connection pools
         assert slow_client.read(10).rows == ROWS
-        setup.server.act = lambda asked: Act()
-        asked = len(setup.server.asked)
+        setup.server.behaviour = lambda asked: AnswerBehaviour()
+        asked = len(setup.server.questions)
         setup.hub.sleep(1.2)
-        assert len(setup.server.asked) == asked, "the old resolver is still queried"
+        assert len(setup.server.questions) == asked, "the old resolver is still queried"
 
     setup.run(scenario)
--- a/tests/test_sources_users.py
+++ b/tests/test_sources_users.py
@@ -18,7 +18,7 @@
 from aspenrill.tool.sources import print_report, query_sources
 from aspenrill.wire import dns
 from standins.nameserver import NameServer
-from standins.scene import play
+from standins.scenario import run_scenario
 
 # ---- decision module: weights -------------------------------------------------------------------------
 
@@ -117,7 +117,7 @@
         node.reload()
         assert any("configuration not taken" in line and "source" in line for line in log_lines)
 
-    play(hub, scenario)
+    run_scenario(hub, scenario)
     sources_file.write_text(sources_text.replace('type = "bulletin"', 'type = "list"'))
     with pytest.raises(ConfigError, match=r"sources.toml: source\[0\].engine"):
         platform(Hub(), {"NODE_CONFIG": str(path)}, tmp_path / "none.toml", sources_file)
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -357,7 +357,7 @@
 
     def scenario():
         world = SimpleNamespace(hub=hub, address=node.fronts[1][1].address)
-        replies.append(TdsClient(world, "anyone", 5).ask("select 1 from sales_1.x"))
+        replies.append(TdsClient(world, "anyone", 5).request("select 1 from sales_1.x"))
         hub.stop()
 
     hub.spawn(scenario)
