--- a/aspenrill/sidecar.py
+++ b/aspenrill/sidecar.py
@@ -1,4 +1,4 @@
-"""One application's front, put together from its file: TDS before it, TDS engines behind it."""
+"""Builds an application's sidecar from its file, with TDS clients and TDS engines."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from . import application
 from .engines.tds import TdsEngines, login_handshake
 from .fronts import tds
-from .gathering import Gathering
+from .gathering import SourceSetup
 from .net.hub import Hub
 from .net.retrying import CONFIG_READ_TIMEOUT, retry
 from .node import ConfigError, Node
 
 
-def _application(path: str, pause: Callable[[float], None] = time.sleep) -> application.Application:
-    """An application's file; ConfigError names its first fault. `pause`: see `read_config`."""
+def _read_application(path: str, pause: Callable[[float], None] = time.sleep) -> application.Application:
+    """Read an application's file. Raises ConfigError with its first fault. `pause`: see `read_config`."""
     try:
         app, faults = application.read(
             retry(lambda: Path(path).read_text(encoding="utf-8"), CONFIG_READ_TIMEOUT, pause)
@@ -26,15 +26,19 @@
     except (OSError, ValueError) as why:
         raise ConfigError(f"{path}: {why}") from None
     if app is None:
-        more = f" (and {len(faults) - 1} more; the tool's check names them)" if faults[1:] else ""
+        more = (
+            f" (and {len(faults) - 1} more; `python -m aspenrill.tool check` lists them)"
+            if faults[1:]
+            else ""
+        )
         raise ConfigError(f"{path}: {faults[0]}{more}")
     return app
 
 
-def _fleet(
+def _join_fleet(
     hub: Hub, node: Node, app: application.Application, read: Callable[[], dict[str, Any]]
 ) -> Callable[[], None]:
-    """The other front ends, where [fleet] has them on; what it gives reads the table again."""
+    """Join the fleet if [fleet] enables it. Returns the function that reads the table again."""
     if app.fleet is None:
         return lambda: None
     from .fleet.joining import join
@@ -43,8 +47,8 @@
 
 
 def sidecar(hub: Hub, path: str) -> Node:
-    """A node for one application's file."""
-    app = _application(path)
+    """Build the front end that an application's file describes."""
+    app = _read_application(path)
     node = Node(
         hub,
         app.settings,
@@ -55,16 +59,16 @@
         lambda pools, post: TdsEngines(hub, pools, post, app.answer_bytes),
         login_handshake(app.user, app.app),
     )
-    gathering, service = Gathering(hub, app.sources, app.kinds, node.post, node.owner.max_engines), None
+    source_setup, service = SourceSetup(hub, app.sources, app.kinds, node.post, node.owner.max_engines), None
     if app.enabled:
         service = tds.Service(hub, app.logins, node.post, app.name)
         node.listen(app.listen, service, "tds")
-    regroup = _fleet(hub, node, app, lambda: _application(path).fleet or {})
+    reload_fleet = _join_fleet(hub, node, app, lambda: _read_application(path).fleet or {})
 
-    def reread() -> None:
+    def read_again() -> None:
         nonlocal app
-        now = _application(path, hub.sleep)
-        if (now.settings, now.kinds, now.listen, now.enabled) != (
+        new_app = _read_application(path, hub.sleep)
+        if (new_app.settings, new_app.kinds, new_app.listen, new_app.enabled) != (
             app.settings,
             app.kinds,
             app.listen,
@@ -73,11 +77,11 @@
             raise ConfigError(
                 f"{path}: only logins, sources, resolvers and their rules can change without a new start"
             )
-        app = now
+        app = new_app
         if service is not None:
-            service.mappings = now.logins
-        gathering.change(now.sources)
-        regroup()
+            service.mappings = new_app.logins
+        source_setup.reconfigure(new_app.sources)
+        reload_fleet()
 
-    node.reread = reread
+    node.read_again = read_again
     return node
