--- a/aspenrill/application.py
+++ b/aspenrill/application.py
@@ -134,7 +134,7 @@
     domain, host = top.text("domain", "local"), top.text("host", "")
     for label, value in (("domain", domain), ("host", host)):
         try:
-            _ = value and dns.name_of(value)
+            _ = value and dns.parse_name(value)
         except Malformed as why:
             top.fault(label, str(why))
     classes = [_class(row) for row in top.tables("class")]
--- a/aspenrill/engines/http.py
+++ b/aspenrill/engines/http.py
@@ -172,7 +172,7 @@
             self.pools.close(conn)
             raise
 
-    def _receive(self, attempt: Attempt, conn: Connection, page: int = 0) -> tuple[http1.Head, bytes]:
+    def _receive(self, attempt: Attempt, conn: Connection, page: int = 0) -> tuple[http1.ResponseHead, bytes]:
         try:
             head, body = self._read_response(conn, min(attempt.until, time.monotonic() + RESPONSE_TIMEOUT))
             if head.status == 200:
@@ -220,10 +220,10 @@
             return
         self._return_connection(peer, conn, head)
 
-    def _read_response(self, conn: Connection, until: float) -> tuple[http1.Head, bytes]:
+    def _read_response(self, conn: Connection, until: float) -> tuple[http1.ResponseHead, bytes]:
         conn.mid_message = False
         for _ in range(MAX_EXTRA):
-            head = http1.response_head(conn.read_head(until))
+            head = http1.parse_response_head(conn.read_head(until))
             conn.mid_message = True
             if head.status >= 200:
                 break
@@ -233,12 +233,12 @@
         conn.mid_message = False
         return found
 
-    def _read_body(self, conn: Connection, head: http1.Head, until: float) -> bytes:
+    def _read_body(self, conn: Connection, head: http1.ResponseHead, until: float) -> bytes:
         if head.chunked:
             parts, size = [], 0
-            while count := http1.chunk_size(conn.read_until(b"\r\n", until)):
+            while count := http1.parse_chunk_size(conn.read_until(b"\r\n", until)):
                 size += count
-                if size > http1.MOST_BODY:
+                if size > http1.MAX_BODY_SIZE:
                     raise Malformed("body too long")
                 parts.append(conn.read(count, until))
                 if conn.read(2, until) != b"\r\n":
@@ -252,14 +252,14 @@
             raise Malformed("no length")
         return conn.read(length, until)
 
-    def _return_connection(self, peer: Peer, conn: Connection, head: http1.Head) -> None:
+    def _return_connection(self, peer: Peer, conn: Connection, head: http1.ResponseHead) -> None:
         """Returns a connection to the pool after a complete response."""
-        if head.stays:
+        if head.keep_alive:
             self.pools.release(peer, conn)
         else:
             self.pools.close(conn)
 
-    def _post_note(self, attempt: Attempt, head: http1.Head) -> float | None:
+    def _post_note(self, attempt: Attempt, head: http1.ResponseHead) -> float | None:
         """Posts a progress note; returns the share done if the note reports that."""
         kind, amount = NOTE_KINDS.get(head.headers.get("x-remark", "")), header_number(head.headers, "x-num")
         if kind is None or amount is None:
@@ -269,7 +269,9 @@
             attempt.state = (time.monotonic(), 0.0)  # the query is waiting: progress counts from here
         return amount if kind is NoteKind.PROGRESS else None
 
-    def _pause(self, attempt: Attempt, conn: Connection, head: http1.Head, share: float | None) -> Connection:
+    def _pause(
+        self, attempt: Attempt, conn: Connection, head: http1.ResponseHead, share: float | None
+    ) -> Connection:
         """Polls a long query less often: waits for a share of its estimated remaining time."""
         if not share:
             return conn
@@ -289,16 +291,18 @@
         except Refused:
             raise Lost from None
 
-    def _error_outcome(self, head: http1.Head) -> Outcome:
+    def _error_outcome(self, head: http1.ResponseHead) -> Outcome:
         """Returns the outcome of an error response; only X-Shed proves that nothing ran."""
         shed = head.headers.get("x-shed") == "1"
         if head.status == 504:
             return Outcome.MOOT if shed else Outcome.TIMEOUT
         return Outcome.FULL if head.status == 503 and shed else Outcome.ERROR
 
-    def _read_pages(self, attempt: Attempt, conn: Connection, head: http1.Head, body: bytes) -> Result:
+    def _read_pages(
+        self, attempt: Attempt, conn: Connection, head: http1.ResponseHead, body: bytes
+    ) -> Result:
         """Reads all pages in order; the attempt fails if one is missing."""
-        count, parts, size = http1.pages(head), [body], len(body)
+        count, parts, size = http1.page_count(head), [body], len(body)
         while len(parts) < count:
             try:
                 if conn is None:
@@ -343,7 +347,7 @@
 
     def _call(
         self, peer: Peer, method: str, path: str, until: float, body: bytes = b"", valid: tuple[int, ...] = ()
-    ) -> http1.Head:
+    ) -> http1.ResponseHead:
         """Makes an idempotent call; repeats it after a broken or unreadable response or an invalid status."""
         for again in range(MAX_TRIES):
             try:
--- a/aspenrill/engines/tds.py
+++ b/aspenrill/engines/tds.py
@@ -25,12 +25,12 @@
 
 def read_packet(conn: Connection, until: float) -> tuple[int, bool, bytes]:
     """Reads a packet: type, whether it ends its message, content. An interrupted wait loses no data."""
-    conn.wait_for_bytes(tds.HEAD.size, until)
-    kind, status, size = tds.packet_head(conn.incoming.peek(tds.HEAD.size))
-    if size + tds.HEAD.size > tds.PACKET:
+    conn.wait_for_bytes(tds.PACKET_HEADER.size, until)
+    kind, status, size = tds.parse_packet_header(conn.incoming.peek(tds.PACKET_HEADER.size))
+    if size + tds.PACKET_HEADER.size > tds.DEFAULT_PACKET_SIZE:
         raise Malformed(f"packet of {size} bytes, larger than agreed")
-    conn.wait_for_bytes(tds.HEAD.size + size, until)
-    conn.incoming.drop(tds.HEAD.size)
+    conn.wait_for_bytes(tds.PACKET_HEADER.size + size, until)
+    conn.incoming.drop(tds.PACKET_HEADER.size)
     return kind, bool(status & tds.END_OF_MESSAGE), conn.incoming.pull(size)
 
 
@@ -43,7 +43,7 @@
             raise Malformed(f"packet of type {kind}")
         if first is None and data:
             first = data[0]
-        reader.take(data)
+        reader.feed(data)
     if not reader.answer.ended:
         raise Malformed("a message without its DONE")
     return first
@@ -66,9 +66,9 @@
             body += data
         tds.read_prelogin(body)
         conn.write(tds.packets(tds.LOGIN7, tds.login7(tds.Login(user, app))), until)
-        reader = tds.TokenReader(tds.PACKET)
+        reader = tds.TokenReader(tds.DEFAULT_PACKET_SIZE)
         read_tokens(conn, reader, until)
-        if reader.answer.error or reader.answer.status & tds.BAD:
+        if reader.answer.error or reader.answer.status & tds.DONE_ERROR:
             raise Malformed(f"login refused: {reader.answer.error}")
 
     return handshake
@@ -104,7 +104,7 @@
         attempt.asked = attempt.state = None
         self.pools.release(attempt.peer, conn)
         answer = reader.answer
-        if answer.error or answer.status & (tds.BAD | tds.SERVER_ERROR):
+        if answer.error or answer.status & (tds.DONE_ERROR | tds.DONE_SERVER_ERROR):
             full = (
                 first == tds.ERROR and answer.error[0] in REJECTED_ERRORS
             )  # anything before the error means that it ran
@@ -128,7 +128,7 @@
                 if reader.answer.ended:
                     reader = tds.TokenReader(self.max_result_bytes)
                 read_tokens(conn, reader, until)
-                if reader.answer.status & tds.ACKNOWLEDGED:
+                if reader.answer.status & tds.DONE_ATTENTION:
                     break
             self.pools.release(attempt.peer, conn)
         except (Closed, TimedOut, Malformed):
--- a/aspenrill/fleet/kept/scopes.py
+++ b/aspenrill/fleet/kept/scopes.py
@@ -53,7 +53,7 @@
     "for",
 }
 TOKEN = re.compile(
-    rf"{sql.LITERAL}|\d[\w.]*|(?P<name>{sql.PART}(?:\s*\.\s*{sql.PART})*)|(?P<mark>[(),;])", re.S
+    rf"{sql.LITERAL}|\d[\w.]*|(?P<name>{sql.IDENTIFIER}(?:\s*\.\s*{sql.IDENTIFIER})*)|(?P<mark>[(),;])", re.S
 )
 _VALID = re.compile(PATTERN)
 
@@ -74,8 +74,8 @@
 
 
 def _group(name: str) -> int | None:
-    parts = sql.DOT.findall(name)
-    found = sql.GROUP.search(parts[-2].strip('"[]`')) if len(parts) > 1 else None
+    parts = sql.NAME_PART.findall(name)
+    found = sql.GROUP_SUFFIX.search(parts[-2].strip('"[]`')) if len(parts) > 1 else None
     return int(found[1]) if found else None
 
 
@@ -85,7 +85,7 @@
     A table name without a group (a view, a function, a common table expression) makes the result unknown,
     since no purge would report its changes.
     """
-    text = sql._bare(statement) if "/*" in statement else statement
+    text = sql.strip_block_comments(statement) if "/*" in statement else statement
     found: set[int] = set()
     # by nesting depth: a table name is expected; more may follow a comma
     expects_table, in_list = [False], [False]
@@ -125,6 +125,6 @@
 
 def groups_named(statement: str) -> frozenset[int]:
     """All groups that a statement names anywhere: a superset of those that a load writes."""
-    text = sql._bare(statement) if "/*" in statement else statement
+    text = sql.strip_block_comments(statement) if "/*" in statement else statement
     names = (match["name"] for match in TOKEN.finditer(text))
     return frozenset(group for name in names if name and (group := _group(name)) is not None)
--- a/aspenrill/fronts/tds.py
+++ b/aspenrill/fronts/tds.py
@@ -152,7 +152,7 @@
         """Reads a whole message. Raises Closed, or Malformed if it violates the protocol."""
         parts, size, last, kind = [], 0, False, None
         while not last:
-            head = tds.packet_head(self.conn.read(tds.HEAD.size, None))
+            head = tds.parse_packet_header(self.conn.read(tds.PACKET_HEADER.size, None))
             self.conn.mid_message = True
             if kind not in (None, head[0]):
                 raise Malformed("a message of two types")
@@ -183,7 +183,7 @@
             raise Closed("login refused")
         self.login, self.mapping = login, mapping
         self.conn.spoke, self.conn.last_used_at = True, time.monotonic()
-        self.conn.write(tds.packets(tds.REPLY, tds.login_answer(login, self.service.name)), None)
+        self.conn.write(tds.packets(tds.REPLY, tds.login_response(login, self.service.name)), None)
 
     def _handle_message(self) -> None:
         if self.conn.draining:
@@ -202,7 +202,7 @@
             self._start_answer(
                 [
                     tds.error(ERROR_UNSUPPORTED, f"messages of type {kind} are not taken here"),
-                    tds.done(tds.BAD),
+                    tds.done(tds.DONE_ERROR),
                 ]
             )
 
@@ -213,7 +213,7 @@
             self.attention = True  # the writer will end its message with the acknowledgement
             self.write_done.wait(None)
         else:
-            self._start_answer([tds.done(tds.ACKNOWLEDGED)])
+            self._start_answer([tds.done(tds.DONE_ATTENTION)])
 
     def _handle_batch(self, statement: str, arrived: float) -> None:
         mapping = self.mapping
@@ -224,7 +224,7 @@
                 raise ValueError(f"a statement of over {MAX_STATEMENT} characters")
             key = mapping.idempotency(self.login, statement)
         except ValueError as why:
-            self._start_answer([tds.error(ERROR_UNUSABLE, str(why)), tds.done(tds.BAD)])
+            self._start_answer([tds.error(ERROR_UNUSABLE, str(why)), tds.done(tds.DONE_ERROR)])
             return
         spent = max(self.service.hub.lag(), arrived - self.conn.received_after)
         time_budget = max(0.0, mapping.timeout - spent)
@@ -256,7 +256,7 @@
                     tokens = list(result_tokens(result))
                 except (Malformed, UnicodeDecodeError):
                     self._start_answer(
-                        [tds.error(ERROR_FAILED, "the result does not fit"), tds.done(tds.BAD)]
+                        [tds.error(ERROR_FAILED, "the result does not fit"), tds.done(tds.DONE_ERROR)]
                     )
                     return
                 rows = result.rows if result.form == "tds" else len(tokens) - 1
@@ -264,11 +264,14 @@
             case Refused(retry_after):
                 later = f"; come back in {round(retry_after * 1000)} ms" if retry_after > 0 else ""
                 self._start_answer(
-                    [tds.error(ERROR_REFUSED, f"refused, another try is harmless{later}"), tds.done(tds.BAD)]
+                    [
+                        tds.error(ERROR_REFUSED, f"refused, another try is harmless{later}"),
+                        tds.done(tds.DONE_ERROR),
+                    ]
                 )
             case Failed(reason):
                 text = "failed, and may have run" + (f": {reason}" if reason else "")
-                self._start_answer([tds.error(ERROR_FAILED, text), tds.done(tds.BAD)])
+                self._start_answer([tds.error(ERROR_FAILED, text), tds.done(tds.DONE_ERROR)])
 
     def _start_answer(self, tokens: list[bytes]) -> None:
         """Starts a task that writes a message. As requests come one at a time, there is at most one."""
@@ -279,13 +282,18 @@
 
     def _write_answer(self, tokens: list[bytes]) -> None:
         """Writes the message packet by packet; after an Attention it ends behind a complete token."""
-        capacity, buffer, number = self.login.packet - tds.HEAD.size, bytearray(), 0
+        capacity, buffer, number = self.login.packet_size - tds.PACKET_HEADER.size, bytearray(), 0
 
         def send(data: bytes, last: bool) -> None:
             nonlocal number
             number += 1
-            head = tds.HEAD.pack(
-                tds.REPLY, tds.END_OF_MESSAGE if last else 0, tds.HEAD.size + len(data), 0, number & 0xFF, 0
+            head = tds.PACKET_HEADER.pack(
+                tds.REPLY,
+                tds.END_OF_MESSAGE if last else 0,
+                tds.PACKET_HEADER.size + len(data),
+                0,
+                number & 0xFF,
+                0,
             )
             self.conn.write_started_at = time.monotonic()
             self.conn.write(head + data, None)
@@ -299,14 +307,14 @@
                     send(bytes(buffer[:capacity]), False)
                     del buffer[:capacity]
             if self.attention:
-                buffer += tds.done(tds.ACKNOWLEDGED)
+                buffer += tds.done(tds.DONE_ATTENTION)
                 while len(buffer) > capacity:
                     send(bytes(buffer[:capacity]), False)
                     del buffer[:capacity]
             send(bytes(buffer), True)
-            acknowledgement_due = self.attention and not bytes(buffer).endswith(tds.done(tds.ACKNOWLEDGED))
+            acknowledgement_due = self.attention and not bytes(buffer).endswith(tds.done(tds.DONE_ATTENTION))
             if acknowledgement_due:  # the Attention arrived while the last packet was sent
-                send(tds.done(tds.ACKNOWLEDGED), True)
+                send(tds.done(tds.DONE_ATTENTION), True)
         except Closed:
             self.conn.over = True
             self.conn.close()  # shows the client that the answer is incomplete
@@ -326,6 +334,6 @@
     def _send_error(self, token: bytes) -> None:
         """Sends a final error if it can be sent at once."""
         try:
-            self.conn.try_write(tds.packets(tds.REPLY, token + tds.done(tds.BAD)))
+            self.conn.try_write(tds.packets(tds.REPLY, token + tds.done(tds.DONE_ERROR)))
         except Closed:
             pass
--- a/aspenrill/fronts/thrift.py
+++ b/aspenrill/fronts/thrift.py
@@ -178,7 +178,9 @@
         if fast is not None and fast[0] == self.last_seqid + 1 and len(self.open_requests) < MAX_OPEN:
             self.last_seqid = fast[0]
             if self._sheds(fast[1]):
-                self.writer.send(fast[0], thrift.thrown("serve", fast[0], 1, self.service.shed_hint))
+                self.writer.send(
+                    fast[0], thrift.declared_exception("serve", fast[0], 1, self.service.shed_hint)
+                )
                 return
             self._start_request(fast[0], fast[1], fast[2], arrived)
             return
@@ -216,9 +218,11 @@
         if message.kind == thrift.ONEWAY and message.name == "forget":
             self._forget((message.args or {}).get(1))
         elif message.kind == thrift.CALL and message.name == "serve":
-            self.writer.send(message.seqid, thrift.thrown("serve", message.seqid, 1, TOO_MANY_OPEN))
+            self.writer.send(
+                message.seqid, thrift.declared_exception("serve", message.seqid, 1, TOO_MANY_OPEN)
+            )
         elif message.kind != thrift.ONEWAY:
-            self._answer_exception(message, thrift.PROTOCOL, "too many messages that cannot be used")
+            self._answer_exception(message, thrift.PROTOCOL_ERROR, "too many messages that cannot be used")
 
     def _answer_internal_error(self, frame: bytes) -> None:
         """Answers a message that met an internal error; the connection goes on."""
@@ -228,7 +232,7 @@
             return
         if message.kind == thrift.CALL and message.seqid not in self.open_requests:
             self.last_seqid = max(self.last_seqid, message.seqid)
-            self._answer_exception(message, thrift.INTERNAL, "internal error")
+            self._answer_exception(message, thrift.INTERNAL_ERROR, "internal error")
 
     def _sheds(self, fields: dict[bytes, bytes]) -> bool:
         """Whether the policy would refuse the class at this event loop lag; cheaper than asking it."""
@@ -246,7 +250,7 @@
         elif message.kind != thrift.CALL:
             self._count_bad()
             if message.kind != thrift.ONEWAY:
-                self._answer_exception(message, thrift.PROTOCOL, "not a call")
+                self._answer_exception(message, thrift.PROTOCOL_ERROR, "not a call")
         elif seqid != self.last_seqid + 1:
             self._count_bad()
             self._answer_exception(message, thrift.BAD_SEQUENCE, f"{self.last_seqid + 1} is next")
@@ -258,7 +262,7 @@
         name, seqid = message.name, message.seqid
         if args is None:
             self._count_bad()
-            self._answer_exception(message, thrift.PROTOCOL, "arguments cannot be read")
+            self._answer_exception(message, thrift.PROTOCOL_ERROR, "arguments cannot be read")
         elif name == "isWell":
             self.writer.send(seqid, thrift.answer(name, seqid, b"", {}, self.service.is_well()))
         elif name != "serve":
@@ -266,13 +270,13 @@
             self._answer_exception(message, thrift.UNKNOWN_METHOD, "no such method")
         elif len(self.open_requests) >= MAX_OPEN:
             self._count_bad()
-            self.writer.send(seqid, thrift.thrown(name, seqid, 1, TOO_MANY_OPEN))
+            self.writer.send(seqid, thrift.declared_exception(name, seqid, 1, TOO_MANY_OPEN))
         else:
             self._start_request(seqid, _string_map(args.get(1)), args.get(2), arrived)
 
     def _answer_exception(self, message: thrift.Message, kind: int, text: str) -> None:
         """Answers a message with an application exception."""
-        self.writer.send(message.seqid, thrift.broken(message.name, message.seqid, kind, text))
+        self.writer.send(message.seqid, thrift.application_exception(message.name, message.seqid, kind, text))
 
     # ---- requests -------------------------------------------------------------------------------------
 
@@ -287,7 +291,7 @@
             call = self.service.reader.read(fields, statement, arrived, spent, self._answer, seqid)
         except ValueError as why:
             self._count_bad()
-            self.writer.send(seqid, thrift.thrown("serve", seqid, 2, {"reason": str(why)}))
+            self.writer.send(seqid, thrift.declared_exception("serve", seqid, 2, {"reason": str(why)}))
             return
         self.open_requests[seqid] = call
         self.conn.busy += 1
@@ -308,12 +312,14 @@
                 self.writer.send(seqid, *thrift.answer_parts(seqid, result.pages))
             case Refused(retry_after):
                 hint = {"holdoff": str(round(retry_after * 1000))} if retry_after > 0 else {}
-                self.writer.send(seqid, thrift.thrown("serve", seqid, 1, hint))
+                self.writer.send(seqid, thrift.declared_exception("serve", seqid, 1, hint))
             case Failed(reason):
                 self._answer_failed(seqid, reason)
 
     def _answer_failed(self, seqid: int, reason: str) -> None:
-        self.writer.send(seqid, thrift.thrown("serve", seqid, 2, {"reason": reason} if reason else {}))
+        self.writer.send(
+            seqid, thrift.declared_exception("serve", seqid, 2, {"reason": reason} if reason else {})
+        )
 
     def _forget(self, number: Any, ahead: bool = False) -> None:
         """Cancels a call. It need not be open; `ahead`: its frame may not have been handled yet."""
--- a/aspenrill/fronts/thrift_answers.py
+++ b/aspenrill/fronts/thrift_answers.py
@@ -98,14 +98,14 @@
             begin, at = at, at + thrift.frame_size(data, at)
             if begin >= sent:
                 message = data[begin:at]
-                self._enqueue(thrift.number_of(message), message)
+                self._enqueue(thrift.sequence_number(message), message)
             elif at > sent:
                 self._enqueue(PARTLY_SENT, data[sent:at])
         self.hub.spawn(self._write, name="thrift writer")
 
     def _enqueue(self, seqid: int, data: bytes) -> None:
         if seqid != PARTLY_SENT and not self.unread.fits(len(data)):
-            data = thrift.thrown("serve", seqid, 2, UNREAD_FIELDS)
+            data = thrift.declared_exception("serve", seqid, 2, UNREAD_FIELDS)
         self.unread.total += len(data)
         self._queue.append((seqid, data))
 
--- a/aspenrill/membership/addresses.py
+++ b/aspenrill/membership/addresses.py
@@ -14,7 +14,7 @@
 MAX_CACHED_DECISIONS = 4096  # hosts
 
 
-def networks(texts: Sequence[str]) -> list[IPNetwork]:
+def parse_networks(texts: Sequence[str]) -> list[IPNetwork]:
     """Parses networks in CIDR notation. Raises ValueError with the text that is invalid."""
     found = []
     for text in texts:
@@ -32,8 +32,8 @@
     """Allows an address that is in the allow set, if there is one, and not in the deny set."""
 
     def __init__(self, allow: Sequence[str] = (), deny: Sequence[str] = ()) -> None:
-        self.allow = IPSet(networks(allow)) if allow else None
-        self.deny = IPSet([*networks(deny), *networks(NON_HOST_NETWORKS)])
+        self.allow = IPSet(parse_networks(allow)) if allow else None
+        self.deny = IPSet([*parse_networks(deny), *parse_networks(NON_HOST_NETWORKS)])
         self._decisions: OrderedDict[str, bool] = OrderedDict()
 
     def allows(self, host: str) -> bool:
--- a/aspenrill/membership/flaps.py
+++ b/aspenrill/membership/flaps.py
@@ -14,11 +14,11 @@
 class Damping:
     """Settings of flap damping, times in seconds.
 
-    `returns` within `window` hold an engine out for `hold`, doubled each time up to `max_hold`. After
-    `reset_after` without a return the hold starts at `hold` again.
+    `threshold` returns within `window` hold an engine out for `hold`, doubled each time up to `max_hold`.
+    After `reset_after` without a return the hold starts at `hold` again.
     """
 
-    returns: int = 3
+    threshold: int = 3
     window: float = 10.0
     hold: float = 5.0
     max_hold: float = 300.0
@@ -28,11 +28,11 @@
 class FlapDamper:
     """Flap damping of one engine: counts its returns and holds it out."""
 
-    __slots__ = ("rules", "returns", "hold_count", "held_until", "last_return_at")
+    __slots__ = ("rules", "return_times", "hold_count", "held_until", "last_return_at")
 
     def __init__(self, rules: Damping) -> None:
         self.rules = rules
-        self.returns: deque[float] = deque(maxlen=rules.returns)
+        self.return_times: deque[float] = deque(maxlen=rules.threshold)
         self.hold_count, self.held_until, self.last_return_at = 0, 0.0, 0.0
 
     def record_return(self, now: float) -> bool:
@@ -40,26 +40,26 @@
         if now - max(self.last_return_at, self.held_until) > self.rules.reset_after:
             self.hold_count = 0
         self.last_return_at = now
-        self.returns.append(now)
-        if now < self.held_until or len(self.returns) < self.rules.returns:
+        self.return_times.append(now)
+        if now < self.held_until or len(self.return_times) < self.rules.threshold:
             return False
-        if now - self.returns[0] > self.rules.window:
+        if now - self.return_times[0] > self.rules.window:
             return False
         self._begin_hold(now)
         return True
 
     def end_hold(self, now: float) -> bool:
         """Ends the hold. Returns True if the engine kept flapping, in which case another hold starts."""
-        if self.returns and now - self.last_return_at <= self.rules.window:
+        if self.return_times and now - self.last_return_at <= self.rules.window:
             self._begin_hold(now)
             return True
-        self.returns.clear()
+        self.return_times.clear()
         return False
 
     def _begin_hold(self, now: float) -> None:
         self.held_until = now + min(self.rules.max_hold, self.rules.hold * 2 ** min(self.hold_count, 30))
         self.hold_count += 1
-        self.returns.clear()
+        self.return_times.clear()
 
     def is_held(self, now: float) -> bool:
         """Returns whether the engine is held out at `now`."""
--- a/aspenrill/membership/rule.py
+++ b/aspenrill/membership/rule.py
@@ -14,23 +14,23 @@
 from ..net.address import show
 from .engine import Engine, explain, pick_id
 from .once import OnceFilter
-from .rules import Rules
-from .source import DRAINING, GONE, LIVE, STATE_RANK, Address, Source, Spec, entries_by_address
+from .rules import MergeRules
+from .source import DRAINING, GONE, LIVE, STATE_RANK, Address, MergeSpec, Source, entries_by_address
 from .tiers import Tiers
 
 
 class Membership:
     """The merged list of engines.
 
-    Sources report through `whole`, `change` and `failed`; `take` returns the updates for the owner. `notes`
-    collects log lines and `looks` the second lookups to run, as source name and time; the caller empties
-    both. `due` returns when to call `tick` next.
+    Sources report through `replace_list`, `apply_changes` and `record_failure`; `take_updates` returns the
+    updates for the owner. `log_lines` and `rechecks`, the second lookups to run as source name and time, are
+    emptied by the caller. `due` returns when to call `tick` next.
     """
 
     def __init__(
         self,
-        rules: Rules,
-        specs: Sequence[Spec],
+        rules: MergeRules,
+        specs: Sequence[MergeSpec],
         now: float,
         allows: Callable[[str], bool] = lambda host: True,
     ) -> None:
@@ -40,8 +40,8 @@
         self.retired: OrderedDict[Address, Engine] = OrderedDict()  # named by no source, oldest first
         self.address_by_id: dict[str, Address] = {}
         self.tiers = Tiers(rules.tiers)
-        self.notes: list[str] = []
-        self.looks: list[tuple[str, float]] = []
+        self.log_lines: list[str] = []
+        self.rechecks: list[tuple[str, float]] = []
         self._updates: dict[str, Member] = {}
         self._timers: list[tuple[float, int, str, Address | str]] = []
         self._timer_count = 0
@@ -54,13 +54,13 @@
     def configure(
         self,
         now: float,
-        specs: Sequence[Spec],
-        rules: Rules | None = None,
+        specs: Sequence[MergeSpec],
+        rules: MergeRules | None = None,
         allows: Callable[[str], bool] | None = None,
     ) -> None:
-        """Sets the sources in their order of precedence. The entries of a removed source stay until every
-        configured source has delivered its first list, at most for `rules.handover`. Engines keep their
-        state.
+        """Sets the sources in order of precedence. The entries of a removed source stay until every
+        configured source has delivered its first list, at most for `handover_timeout`. Engines keep
+        their state.
         """
         if rules is not None:
             self.rules, self.tiers.rules = rules, rules.tiers
@@ -73,19 +73,19 @@
             source.spec, source.rank, source.removing = spec, rank, False
             self.sources[spec.name] = source
         for source in before.values():
-            if source.said:
+            if source.entries:
                 source.rank, source.removing = len(specs) + source.rank, True
                 self.sources[source.spec.name] = source
-                self._add_timer(now + self.rules.handover, "handover", source.spec.name)
+                self._add_timer(now + self.rules.handover_timeout, "handover", source.spec.name)
         for source in self.sources.values():
-            for address in [a for a in source.said if not self.allows(a[0])]:
-                self._log_not_allowed(source, source.said[address])
+            for address in [a for a in source.entries if not self.allows(a[0])]:
+                self._log_not_allowed(source, source.entries[address])
                 self._set_entry(now, source, address, None)
         self._finish_handover(now)
         for engine in list(self.engines.values()):
             self._update_engine(now, engine)
 
-    def whole(
+    def replace_list(
         self, now: float, name: str, members: Iterable[Member], learned_at: float | None = None
     ) -> None:
         """Applies a source's complete list. `learned_at` is when the data behind it was obtained: the data of
@@ -98,18 +98,18 @@
         new = entries_by_address(
             member for member in members if member.state is not GONE and self._accepts(source, member)
         )
-        missing = [address for address in source.said if address not in new]
+        missing = [address for address in source.entries if address not in new]
         withdrawn = self._confirm_missing(now, source, missing, learned_at)
         self._mark_answered(now, source)
-        moved = [a for a, m in new.items() if a in source.said and source.said[a].engine != m.engine]
-        for address in [*withdrawn, *(moved if source.spec.names_ids else ())]:
+        moved = [a for a, m in new.items() if a in source.entries and source.entries[a].engine != m.engine]
+        for address in [*withdrawn, *(moved if source.spec.has_engine_ids else ())]:
             self._set_entry(now, source, address, None)
         for address, member in new.items():
-            if source.said.get(address) != member:
+            if source.entries.get(address) != member:
                 self._set_entry(now, source, address, member)
         self._after_update(now, source)
 
-    def change(self, now: float, name: str, members: Iterable[Member]) -> None:
+    def apply_changes(self, now: float, name: str, members: Iterable[Member]) -> None:
         """Applies changes to a source's list, by its own ids; an entry with state GONE is removed."""
         source = self.sources.get(name)
         if source is None:
@@ -121,7 +121,7 @@
                 self._set_entry(now, source, old, None)
             if member.state is GONE or not self._accepts(source, member):
                 continue
-            other = source.said.get(member.address)
+            other = source.entries.get(member.address)
             if (
                 other is not None
                 and other.engine != member.engine
@@ -131,15 +131,17 @@
             self._set_entry(now, source, member.address, member)
         self._after_update(now, source)
 
-    def failed(self, now: float, name: str, why: str) -> None:
+    def record_failure(self, now: float, name: str, why: str) -> None:
         """Records that a lookup of the source failed. Its last list stays."""
         source = self.sources.get(name)
         if source is not None:
-            if source.failing is None:
-                self.notes.append(f"source {name} fails, its last list of {len(source.said)} stays: {why}")
-            source.failing = why
+            if source.failure is None:
+                self.log_lines.append(
+                    f"source {name} fails, its last list of {len(source.entries)} stays: {why}"
+                )
+            source.failure = why
 
-    def unfit(self, now: float, ids: Iterable[str]) -> None:
+    def set_unhealthy(self, now: float, ids: Iterable[str]) -> None:
         """Sets which engines the front end finds unhealthy now. They count as not usable in their tiers."""
         unhealthy = {self.address_by_id[one] for one in ids if one in self.address_by_id}
         for address in unhealthy ^ self._unhealthy:
@@ -159,7 +161,7 @@
                 self._remove_source(now, self.sources[subject])
         while self.retired:
             engine = next(iter(self.retired.values()))
-            if now < engine.down_at + self.rules.remember and now >= engine.flap_damper.held_until:
+            if now < engine.down_at + self.rules.remember_for and now >= engine.flap_damper.held_until:
                 break
             if now < engine.flap_damper.held_until:
                 self.retired.move_to_end(engine.address)
@@ -176,7 +178,7 @@
         ]
         return min(candidates, default=None)
 
-    def take(self) -> tuple[Member, ...]:
+    def take_updates(self) -> tuple[Member, ...]:
         """Returns and clears the updates for the owner."""
         updates, self._updates = tuple(self._updates.values()), {}
         return updates
@@ -184,12 +186,12 @@
     # ---- one source's list ------------------------------------------------------------------------------
 
     def _mark_answered(self, now: float, source: Source) -> None:
-        if source.failing is not None:
-            self.notes.append(f"source {source.spec.name} answers again")
-        source.heard_at, source.failing = now, None
+        if source.failure is not None:
+            self.log_lines.append(f"source {source.spec.name} answers again")
+        source.updated_at, source.failure = now, None
 
     def _after_update(self, now: float, source: Source) -> None:
-        source.first = False
+        source.awaiting_list = False
         self._finish_handover(now)
         self._step_tiers(now)
 
@@ -197,12 +199,12 @@
         if not self.allows(member.address[0]):
             self._log_not_allowed(source, member)
             return False
-        if member.address in self.engines or len(self.engines) < self.rules.most_engines:
+        if member.address in self.engines or len(self.engines) < self.rules.max_engines:
             return True
         self._log_once(
             source,
             "",
-            f"source {source.spec.name}: more than {self.rules.most_engines} engines, the others are ignored",
+            f"source {source.spec.name}: more than {self.rules.max_engines} engines, the others are ignored",
         )
         return False
 
@@ -217,28 +219,28 @@
 
     def _log_once(self, source: Source, subject: str, text: str) -> None:
         if self._logged_once.add_if_new((source.spec.name, subject)):
-            self.notes.append(text)
+            self.log_lines.append(text)
 
     def _confirm_missing(
         self, now: float, source: Source, missing: list[Address], learned_at: float
     ) -> list[Address]:
         """Returns the missing addresses that are withdrawn; schedules a second lookup where one is needed."""
-        withdrawn, note, again = source.confirm_missing(missing, learned_at, self.rules.confirm)
+        withdrawn, note, again = source.confirm_missing(missing, learned_at, self.rules.confirm_after)
         if note is not None:
-            self.notes.append(note)
+            self.log_lines.append(note)
         if again:
-            self.looks.append((source.spec.name, now + self.rules.confirm))
+            self.rechecks.append((source.spec.name, now + self.rules.confirm_after))
         return withdrawn
 
     def _finish_handover(self, now: float) -> None:
         """Removes unconfigured sources once every configured one has delivered its first list."""
-        if any(source.first for source in self.sources.values() if not source.removing):
+        if any(source.awaiting_list for source in self.sources.values() if not source.removing):
             return
         for source in [s for s in self.sources.values() if s.removing]:
             self._remove_source(now, source)
 
     def _remove_source(self, now: float, source: Source) -> None:
-        for address in list(source.said):
+        for address in list(source.entries):
             self._set_entry(now, source, address, None)
         del self.sources[source.spec.name]
 
@@ -255,7 +257,7 @@
         before = engine or self.retired.get(address)
         if (
             before is not None
-            and source.spec.names_ids
+            and source.spec.has_engine_ids
             and (before.id_by_source.get(name, member.engine) != member.engine)
         ):
             self._replace(now, before, source)
@@ -267,21 +269,21 @@
                     pick_id(member, address, self.address_by_id, self.engines), address, self.rules.damping
                 )
                 for other in self.sources.values():  # entries of other sources for the same address
-                    if address in other.said and other is not source:
-                        engine.entries[other.spec.name] = said = other.said[address]
-                        if other.spec.names_ids:
-                            engine.id_by_source[other.spec.name] = said.engine
+                    if address in other.entries and other is not source:
+                        engine.entries[other.spec.name] = entry = other.entries[address]
+                        if other.spec.has_engine_ids:
+                            engine.id_by_source[other.spec.name] = entry.engine
             elif self.address_by_id.get(engine.id) != address:  # another engine has taken its id meanwhile
                 engine.id, engine.published = pick_id(member, address, self.address_by_id, self.engines), None
             self.engines[address], self.address_by_id[engine.id] = engine, address
         engine.entries[name] = member
-        if source.spec.names_ids:
+        if source.spec.has_engine_ids:
             engine.id_by_source[name] = member.engine
         self._update_engine(now, engine, source)
 
     def _replace(self, now: float, engine: Engine, source: Source) -> None:
         """Withdraws an engine whose address another engine has taken, whichever sources named it."""
-        self.notes.append(
+        self.log_lines.append(
             f"engine {engine.id} at {show(engine.address)}: replaced by another engine of {source.spec.name}"
         )
         self.engines.pop(engine.address, None)
@@ -304,10 +306,10 @@
         up = bool(engine.entries) and all(m.state is LIVE for m in engine.entries.values())
         if up and not engine.up:
             if not engine.was_up:
-                if source is None or not source.first:
+                if source is None or not source.awaiting_list:
                     engine.started = max(engine.started, now)
             else:
-                if now >= engine.down_at + self.rules.restart:
+                if now >= engine.down_at + self.rules.restart_after:
                     engine.started = now
                 if engine.flap_damper.record_return(now):
                     engine.started = now
@@ -322,12 +324,12 @@
             self.engines.pop(engine.address, None)
             self.retired[engine.address] = engine
             self.retired.move_to_end(engine.address)
-            if len(self.retired) > self.rules.most_engines:
+            if len(self.retired) > self.rules.max_engines:
                 self._forget(next(iter(self.retired.values())))
             self._publish(engine, GONE)
             return
         held = engine.flap_damper.is_held(now)
-        first = source is not None and source.first
+        first = source is not None and source.awaiting_list
         engine.admitted = self.tiers.update(
             now,
             engine.address,
@@ -339,7 +341,7 @@
         self._publish(engine, LIVE if up and not held and engine.admitted else DRAINING, merged)
 
     def _start_hold(self, engine: Engine, now: float) -> None:
-        self.notes.append(
+        self.log_lines.append(
             f"engine {engine.id} is flapping: held out for {engine.flap_damper.held_until - now:.0f} s"
         )
         self._add_timer(engine.flap_damper.held_until, "hold", engine.address)
@@ -362,8 +364,8 @@
             if admitted:
                 engine.started = now
             self._update_engine(now, engine)
-        self.notes += self.tiers.notes
-        self.tiers.notes.clear()
+        self.log_lines += self.tiers.log_lines
+        self.tiers.log_lines.clear()
 
     def _publish(self, engine: Engine, state: EngineState, merged: Member | None = None) -> None:
         """Queues an update for the owner if the engine changed since the last; none if it was never live."""
--- a/aspenrill/membership/rules.py
+++ b/aspenrill/membership/rules.py
@@ -9,19 +9,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class MergeRules:
     """Times in seconds, and limits.
 
-    `restart`: an engine that was down for this long may have restarted and counts as cold.
-    `confirm`: delay before a list that shrank much is confirmed by a second lookup.
-    `handover`: how long the entries of a removed source stay while new sources deliver their first list.
-    `remember`: how long an engine that no source names is remembered.
+    `restart_after`: an engine that was down for this long may have restarted and counts as cold.
+    `confirm_after`: delay before a list that shrank much is confirmed by a second lookup.
+    `handover_timeout`: how long the entries of a removed source stay while new ones deliver their first list.
+    `remember_for`: how long an engine that no source names is remembered.
     """
 
-    restart: float = 1.0
-    confirm: float = 2.0
-    handover: float = 30.0
-    remember: float = 600.0
-    most_engines: int = 20000
+    restart_after: float = 1.0
+    confirm_after: float = 2.0
+    handover_timeout: float = 30.0
+    remember_for: float = 600.0
+    max_engines: int = 20000
     damping: Damping = field(default_factory=Damping)
     tiers: TierRules = field(default_factory=TierRules)
--- a/aspenrill/membership/tiers.py
+++ b/aspenrill/membership/tiers.py
@@ -104,9 +104,9 @@
     def __init__(self, rules: TierRules) -> None:
         self.rules = rules
         self.tiers: dict[int, Tier] = {}
-        self.order: list[int] = []
+        self.priorities: list[int] = []
         self.tier_by_address: dict[Address, Tier] = {}
-        self.notes: list[str] = []
+        self.log_lines: list[str] = []
 
     def update(
         self, now: float, address: Address, priority: int, usable: bool, weight: float, at_once: bool
@@ -125,10 +125,12 @@
             tier = self.tiers.get(priority)
             if tier is None:
                 tier = self.tiers[priority] = Tier(priority)
-                self.order = sorted(self.tiers)
+                self.priorities = sorted(self.tiers)
             self.tier_by_address[address] = tier
         tier.update(address, usable, weight)
-        if self.order[0] == priority and (at_once or tier.open or len(self.order) == 1 and not tier.admitted):
+        if self.priorities[0] == priority and (
+            at_once or tier.open or len(self.priorities) == 1 and not tier.admitted
+        ):
             tier.open = True
             tier.admit(address)
         return address in tier.admitted
@@ -141,7 +143,7 @@
         tier.remove(address)
         if not tier.usable_by_address:
             del self.tiers[tier.priority]
-            self.order = sorted(self.tiers)
+            self.priorities = sorted(self.tiers)
 
     def inside(self, address: Address) -> bool:
         """Returns whether the engine is admitted."""
@@ -151,7 +153,7 @@
     def step(self, now: float) -> Iterator[tuple[Address, bool]]:
         """Admits (True) and evicts (False) the engines whose step is due, at most one per tier."""
         rules, usable_above, needed, min_usable = self.rules, 0, 0, 0.0
-        for position, priority in enumerate(self.order):
+        for position, priority in enumerate(self.priorities):
             tier = self.tiers[priority]
             if position == 0:
                 size = max(rules.min_engines, len(tier.usable_by_address))
@@ -172,7 +174,7 @@
         """Returns how many usable engines a lower tier should have admitted; opens or closes the tier."""
         if not tier.open and usable_above < min_usable:
             tier.open, tier.satisfied_since, tier.next_step_at = True, None, now
-            self.notes.append(
+            self.log_lines.append(
                 f"tier {tier.priority} opens: {usable_above} of {needed} engines above it are usable"
             )
         if not tier.open:
@@ -182,7 +184,7 @@
             if now >= tier.satisfied_since + self.rules.settle_for:
                 if not tier.admitted:
                     tier.open = False
-                    self.notes.append(
+                    self.log_lines.append(
                         f"tier {tier.priority} is closed: {usable_above} engines above it are usable"
                     )
                 return 0
@@ -209,7 +211,7 @@
 
     def due(self, now: float) -> float | None:
         """Returns when `step` should run next; None if there is one tier and all of it is admitted."""
-        if len(self.order) < 2 and all(
+        if len(self.priorities) < 2 and all(
             len(t.admitted) == len(t.usable_by_address) for t in self.tiers.values()
         ):
             return None
--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -30,7 +30,7 @@
 from .settings import settings_from
 from .starttimes import StartTimes
 from .wire import Malformed
-from .wire.bulletin import json_news
+from .wire.bulletin import decode_json_update
 
 CLIENT_SHARE, ENGINE_SHARE = 0.4, 0.5  # of the descriptors; the rest is for listeners, files and probes
 IDLE_MARGIN, LEAST_IDLE = 2.0, 1.0  # seconds by which a pooled connection is closed before the engine would
@@ -122,7 +122,7 @@
     known = []
     for at, item in enumerate(want("known.items", list)):
         try:
-            known.append(json_news(item, info.get("areas") or [], info.get("kinds") or []))
+            known.append(decode_json_update(item, info.get("areas") or [], info.get("kinds") or []))
         except Malformed as why:
             raise ConfigError(f"known.items[{at}]: {why}") from None
         if (count := len(known[-1].members)) > most:
--- a/aspenrill/resolver/cache.py
+++ b/aspenrill/resolver/cache.py
@@ -61,7 +61,7 @@
 
     def get_fresh(self, now: float, name: dns.Name, kind: int) -> Answer | None:
         """Return an answer that needs no refresh yet."""
-        found = self._get(dns.fold(name), kind)
+        found = self._get(dns.fold_case(name), kind)
         return found if found is not None and now < found.refresh_at else None
 
     def get_last(self, now: float, name: dns.Name, kind: int, reason: str) -> Answer | None:
@@ -70,7 +70,7 @@
         It is marked stale if it has expired. RFC 8767, 5: a failed look-up does not change the cached answer;
         a new answer replaces it, also a negative one.
         """
-        found = self._get(dns.fold(name), kind)
+        found = self._get(dns.fold_case(name), kind)
         if found is None or now > found.expires_at + self.lifetimes.max_stale:
             return None
         return found if now < found.expires_at else replace(found, stale=True, reason=reason)
@@ -96,7 +96,7 @@
             now + lifetime * (low + (high - low) * self.rng.random()),
             now + lifetime,
         )
-        key = dns.fold(name), kind
+        key = dns.fold_case(name), kind
         self.answers[key] = found
         self.answers.move_to_end(key)
         while len(self.answers) > bounds.max_entries:
--- a/aspenrill/resolver/client.py
+++ b/aspenrill/resolver/client.py
@@ -49,7 +49,7 @@
 
         Raises Failed if there is no answer and none is cached; an expired one from the cache is marked stale.
         """
-        key = dns.fold(name), kind
+        key = dns.fold_case(name), kind
         while True:
             now = time.monotonic()
             if not bypass_cache and (cached := self.cache.get_fresh(now, name, kind)) is not None:
@@ -129,7 +129,7 @@
             try:
                 self.queries_sent += 1
                 query_id = self.random.randrange(65536)
-                query = dns.query(query_id, question.name, question.kind, question.payload)
+                query = dns.encode_query(query_id, question.name, question.kind, question.payload)
                 if question.stream:
                     return Outcome(time.monotonic(), self._send_stream(query, query_id, question))
                 return self._send_datagram(query, query_id, question)
@@ -162,7 +162,7 @@
                         self.hub.wait_fd(sock.fileno(), READ, seconds)
                         continue
                     try:
-                        reply = dns.read_reply(data)
+                        reply = dns.parse_reply(data)
                     except Malformed:
                         reply = None
                     if reply is not None and is_reply_to(reply, query_id, question):
@@ -187,7 +187,7 @@
         conn = connect(self.hub, question.server.address, question.deadline)
         try:
             conn.write(len(query).to_bytes(2, "big") + query, question.deadline)
-            reply = dns.read_reply(
+            reply = dns.parse_reply(
                 conn.read(int.from_bytes(conn.read(2, question.deadline), "big"), question.deadline)
             )
         finally:
@@ -206,4 +206,6 @@
         return False
     if reply.question is None:
         return reply.code in (dns.FORMERR, dns.NOTIMP, dns.SERVFAIL, dns.REFUSED)
-    return reply.question[1] == question.kind and dns.fold(reply.question[0]) == dns.fold(question.name)
+    return reply.question[1] == question.kind and dns.fold_case(reply.question[0]) == dns.fold_case(
+        question.name
+    )
--- a/aspenrill/resolver/lookup.py
+++ b/aspenrill/resolver/lookup.py
@@ -65,14 +65,14 @@
 
 def lookup_steps(now: float, name: dns.Name, kind: int, servers: Servers, timeouts: Patience) -> LookupSteps:
     """Look up the records of a kind under a name, following CNAMEs (RFC 1034, 5.3.3)."""
-    deadline, seen, ttl = now + timeouts.lookup, [dns.fold(name)], float("inf")
+    deadline, seen, ttl = now + timeouts.lookup, [dns.fold_case(name)], float("inf")
     while True:
         reply, now = yield from _query_servers(now, name, kind, servers, timeouts, deadline)
         end, records, alias_ttl = follow_aliases(reply, name, kind, seen)
         ttl = min(ttl, alias_ttl)
         if records:
             return LookupResult(dns.NOERROR, records, min([ttl, *(row.ttl for row in records)]))
-        if reply.code == dns.NXDOMAIN or dns.fold(end) == dns.fold(name) or _has_soa(reply):
+        if reply.code == dns.NXDOMAIN or dns.fold_case(end) == dns.fold_case(name) or _has_soa(reply):
             return LookupResult(reply.code, (), min(ttl, negative_ttl(reply.authority)))
         name = end  # the answer ended at an alias: its target needs a question of its own
 
@@ -92,19 +92,19 @@
     records: dict[dns.Name, list[dns.Record]] = {}
     for record in reply.records:
         if record.kind == dns.CNAME and kind != dns.CNAME:
-            aliases.setdefault(dns.fold(record.name), record)
+            aliases.setdefault(dns.fold_case(record.name), record)
         elif record.kind == kind:
-            same_name = records.setdefault(dns.fold(record.name), [])
+            same_name = records.setdefault(dns.fold_case(record.name), [])
             same_name.append(record)
     ttl = float("inf")
-    while (current := dns.fold(name)) in aliases and current not in records:
+    while (current := dns.fold_case(name)) in aliases and current not in records:
         name, ttl = aliases[current].data, min(ttl, aliases[current].ttl)
-        if dns.fold(name) in seen:
-            raise Failed(f"aliases in a circle at {dns.text_of(name)}")
-        seen.append(dns.fold(name))
+        if dns.fold_case(name) in seen:
+            raise Failed(f"aliases in a circle at {dns.format_name(name)}")
+        seen.append(dns.fold_case(name))
         if len(seen) > MAX_ALIASES + 1:
             raise Failed(f"more than {MAX_ALIASES} aliases")
-    unique = {record.data: record for record in records.get(dns.fold(name), ())}
+    unique = {record.data: record for record in records.get(dns.fold_case(name), ())}
     return name, tuple(unique.values()), ttl
 
 
@@ -124,7 +124,7 @@
         sent_at, stream = now, False
         reply_timeout = servers.reply_timeout(server, timeouts.question)
         while True:
-            payload = dns.PAYLOAD if server.edns else 0
+            payload = dns.EDNS_PAYLOAD_SIZE if server.edns else 0
             outcome = yield Question(server, stream, name, kind, payload, min(deadline, now + reply_timeout))
             now, reply = outcome.now, outcome.reply
             if reply is None:
--- a/aspenrill/roster/bulletin.py
+++ b/aspenrill/roster/bulletin.py
@@ -39,7 +39,7 @@
 READ_TIMEOUT = 1.3
 # Multiple of READ_TIMEOUT for the connection after one that sent nothing: every first frame may be late.
 SLOW_START_FACTOR = 2
-CHUNK_BYTES = 128 * wire.RECORD.size  # read at a time of a list that is too long to keep
+CHUNK_BYTES = 128 * wire.ENGINE_RECORD.size  # read at a time of a list that is too long to keep
 RECONNECT_INTERVAL = 0.1  # seconds between connection attempts
 
 
@@ -95,7 +95,7 @@
         while size:
             chunk = conn.read(min(size, CHUNK_BYTES), time.monotonic() + READ_TIMEOUT)
             size -= len(chunk)
-            members = wire.frame_news(number, kind, chunk).members
+            members = wire.decode_update(number, kind, chunk).members
             if leaving := tuple(m for m in members if m.state is not EngineState.LIVE):
                 self.on_update(News(number, False, leaving))
 
@@ -106,8 +106,8 @@
             conn.write(wire.greeting(self.last_event), time.monotonic() + READ_TIMEOUT)
             while True:
                 deadline = time.monotonic() + first_read_timeout
-                size, number, kind = wire.frame_head(conn.read(wire.HEAD.size, deadline))
-                if (count := wire.engines_in(size)) > self.max_engines:
+                size, number, kind = wire.parse_frame_header(conn.read(wire.FRAME_HEADER.size, deadline))
+                if (count := wire.record_count(size)) > self.max_engines:
                     self.hub.log(
                         f"bulletin: a list of {count} engines refused, memory allows {self.max_engines}; "
                         "the previous list stays in use"
@@ -115,7 +115,7 @@
                     self._publish_leaving(conn, size, number, kind)
                     self.last_event = max(self.last_event, number)
                     continue
-                news = wire.frame_news(number, kind, conn.read(size, deadline))
+                news = wire.decode_update(number, kind, conn.read(size, deadline))
                 first_read_timeout = self.first_read_timeout = READ_TIMEOUT
                 received_any = True
                 if news is None:
--- a/aspenrill/roster/discovery.py
+++ b/aspenrill/roster/discovery.py
@@ -58,18 +58,18 @@
     def on_list(self, name: str, members: Sequence[Member], learned_at: float | None = None) -> None:
         """Apply a source's complete list."""
         now = self.clock()
-        self.membership.whole(now, name, self.start_times.members(now, members), learned_at)
+        self.membership.replace_list(now, name, self.start_times.members(now, members), learned_at)
         self.publish_changes()
 
     def on_changes(self, name: str, members: Sequence[Member]) -> None:
         """Apply changes to a source's list."""
         now = self.clock()
-        self.membership.change(now, name, self.start_times.members(now, members))
+        self.membership.apply_changes(now, name, self.start_times.members(now, members))
         self.publish_changes()
 
     def on_failure(self, name: str, why: str) -> None:
         """Record that a source has failed."""
-        self.membership.failed(self.clock(), name, why)
+        self.membership.record_failure(self.clock(), name, why)
         self.publish_changes()
 
     def bulletin_handler(self, name: str) -> Callable[[News], None]:
@@ -98,16 +98,16 @@
     def publish_changes(self) -> None:
         """Pass changed members to the owner, log, and schedule requested polls and the next tick."""
         membership = self.membership
-        members = membership.take()
+        members = membership.take_updates()
         if members:
             self.event_number += 1
             self.post(News(self.event_number, False, members))
-        for text in membership.notes:
+        for text in membership.log_lines:
             self.hub.log(text)
-        membership.notes.clear()
-        for name, at in membership.looks:
+        membership.log_lines.clear()
+        for name, at in membership.rechecks:
             self.hub.timers.after(max(0.0, at - self.clock()), self.hub.spawn, self._refresh, name)
-        membership.looks.clear()
+        membership.rechecks.clear()
         due = membership.due(self.clock())
         if due is not None and due < self._timer_due - 0.01:
             if self._timer is not None:
@@ -122,7 +122,7 @@
     def _tick(self) -> None:
         self._timer, self._timer_due = None, math.inf
         if (
-            len(self.membership.tiers.order) > 1
+            len(self.membership.tiers.priorities) > 1
             and time.monotonic() >= self._health_polled_at + HEALTH_POLL_INTERVAL
         ):
             self._health_polled_at = time.monotonic()
@@ -131,5 +131,5 @@
         self.publish_changes()
 
     def _mark_unhealthy(self, ids: list[str]) -> None:
-        self.membership.unfit(self.clock(), ids)
+        self.membership.set_unhealthy(self.clock(), ids)
         self.publish_changes()
--- a/aspenrill/roster/dnssd.py
+++ b/aspenrill/roster/dnssd.py
@@ -90,7 +90,7 @@
         kind = self.kinds.index(properties_found["kind"]) if properties_found.get("kind") in self.kinds else 0
         return [
             Member(
-                dns.text_of(instance).rstrip("."),
+                dns.format_name(instance).rstrip("."),
                 (hosts[0], port),
                 STATES.get(properties_found.get("state", ""), EngineState.LIVE),
                 number("zone", 256),
--- a/aspenrill/roster/srv.py
+++ b/aspenrill/roster/srv.py
@@ -35,7 +35,7 @@
         hosts, refresh_at = self.resolve_targets([target for *_, target in records])
         members = []
         for priority, weight, port, target in records:
-            text = dns.text_of(target).rstrip(".").lower() + f":{port}"
+            text = dns.format_name(target).rstrip(".").lower() + f":{port}"
             several = len(hosts.get(target, ())) > 1
             for host in hosts.get(target, ()):
                 members.append(
--- a/aspenrill/roster/watcher.py
+++ b/aspenrill/roster/watcher.py
@@ -49,7 +49,7 @@
         self, hub: Hub, name: str, resolver: Resolver, service: str, family: str, sink: Sink
     ) -> None:
         self.hub, self.name, self.resolver, self.sink = hub, name, resolver, sink
-        self.service, self.address_kinds = dns.name_of(service), FAMILIES[family]
+        self.service, self.address_kinds = dns.parse_name(service), FAMILIES[family]
         self.last_addresses: dict[dns.Name, tuple[str, ...]] = {}  # by target
         self.task: Task | None = None
         self.stopped = False  # the resolver may take the interrupt of its wait for a closed connection
--- a/aspenrill/sources.py
+++ b/aspenrill/sources.py
@@ -13,7 +13,7 @@
 from .api import EngineState
 from .members import Member
 from .membership.flaps import Damping
-from .membership.rule import Rules, Spec
+from .membership.rule import MergeRules, MergeSpec
 from .membership.tiers import TierRules
 from .reader import Reader, unique
 from .resolver.cache import Lifetimes
@@ -41,7 +41,7 @@
 
     name: str
     type: str
-    spec: Spec
+    spec: MergeSpec
     resolver: str = ""
     service: str = ""
     family: str = FAMILIES[0]
@@ -57,7 +57,7 @@
 
     sources: tuple[SourceSpec, ...]
     resolvers: tuple[ResolverSpec, ...] = ()
-    rules: Rules = Rules()
+    rules: MergeRules = MergeRules()
     allow: tuple[str, ...] = ()
     deny: tuple[str, ...] = ()
 
@@ -67,7 +67,7 @@
         return ", ".join(source.type for source in self.sources)
 
     @property
-    def specs(self) -> tuple[Spec, ...]:
+    def specs(self) -> tuple[MergeSpec, ...]:
         """What the membership is told of them."""
         return tuple(source.spec for source in self.sources)
 
@@ -107,7 +107,7 @@
     """The name that a source asks for, checked."""
     text = row.text("service")
     try:
-        if text and len(dns.name_of(text)) < 3:
+        if text and len(dns.parse_name(text)) < 3:
             row.fault("service", "a name like _tds._tcp.billing.example is wanted")
     except Malformed as why:
         row.fault("service", str(why))
@@ -144,7 +144,7 @@
     name, kind_of = row.text("name"), row.choice("type", types)
     tier, zone = int(row.number("tier", 0, 0, 65535)), int(row.number("zone", 0, 0, 255))
     shrink = row.number("shrink", 0.5 if kind_of in ("dns-sd", "srv") else 1.0, 0, 1)
-    spec = Spec(name, names_ids=kind_of != "srv", shrink=shrink)
+    spec = MergeSpec(name, has_engine_ids=kind_of != "srv", max_shrink=shrink)
     if kind_of == "bulletin":
         row.end()
         return SourceSpec(name, kind_of, spec)
@@ -176,13 +176,15 @@
         row.seen |= {"resolver", "service"}
         if not engines:
             row.fault("engine", "source is list: at least one [[engines.engine]] is wanted")
-        return [SourceSpec("engines", "list", Spec("engines"), engines=engines)], []
+        return [SourceSpec("engines", "list", MergeSpec("engines"), engines=engines)], []
     server, service = row.address("resolver"), service_of(row)
     resolver = ResolverSpec("default", (server,), Patience(), Lifetimes())
-    return [SourceSpec("engines", "dns-sd", Spec("engines", shrink=0.5), "default", service)], [resolver]
+    return [SourceSpec("engines", "dns-sd", MergeSpec("engines", max_shrink=0.5), "default", service)], [
+        resolver
+    ]
 
 
-def _rules(top: Reader) -> Rules:
+def _rules(top: Reader) -> MergeRules:
     row, tiers = top.table_of("membership"), top.table_of("tiers")
     first, most = row.number("hold_s", 5, 0.1, DAY), row.number("hold_most_s", 300, 0.1, DAY)
     if most < first:
@@ -204,11 +206,11 @@
         tiers.number("step_ms", 1000, 10, 600000) / 1000,
         tiers.number("settle_s", 15, 0, DAY),
     )
-    rules = Rules(
+    rules = MergeRules(
         row.number("restart_ms", 1000, 0, 600000) / 1000,
         row.number("confirm_ms", 2000, 100, 600000) / 1000,
         row.number("handover_s", 30, 0, DAY),
-        most_engines=int(row.number("most_engines", 20000, 1, 100000)),
+        max_engines=int(row.number("most_engines", 20000, 1, 100000)),
         damping=damping,
         tiers=ladder,
     )
@@ -221,13 +223,13 @@
     texts = row.texts(name)
     if texts:
         try:
-            from .membership.addresses import networks
+            from .membership.addresses import parse_networks
         except ImportError:
             row.fault(name, "needs the library netaddr: pip install 'aspenrill[sources]'")
             return ()
         for at, text in enumerate(texts):
             try:
-                networks([text])
+                parse_networks([text])
             except ValueError as why:
                 row.fault(f"{name}[{at}]", str(why))
     return tuple(texts)
--- a/aspenrill/tool/__main__.py
+++ b/aspenrill/tool/__main__.py
@@ -70,14 +70,14 @@
     found = _load(args.file)
     if found is None:
         return 1
-    service = dns.name_of(f"_tds._tcp.{found.domain}")
-    host = dns.name_of(found.instance_host or f"{found.name}.{found.domain}")
-    name, instance = dns.text_of(service), dns.text_of((found.name, *service))
+    service = dns.parse_name(f"_tds._tcp.{found.domain}")
+    host = dns.parse_name(found.instance_host or f"{found.name}.{found.domain}")
+    name, instance = dns.format_name(service), dns.format_name((found.name, *service))
     print(f"{name} {TTL} IN PTR {instance}")
-    print(f"{instance} {TTL} IN SRV 0 0 {found.listen[1]} {dns.text_of(host)}")
+    print(f"{instance} {TTL} IN SRV 0 0 {found.listen[1]} {dns.format_name(host)}")
     print(f'{instance} {TTL} IN TXT "txtvers=1" "app={found.name}"')
     kind = "AAAA" if family_of(found.listen[0]) == socket.AF_INET6 else "A"
-    print(f"{dns.text_of(host)} {TTL} IN {kind} {found.listen[0]}")
+    print(f"{dns.format_name(host)} {TTL} IN {kind} {found.listen[0]}")
     return 0
 
 
--- a/aspenrill/tool/sources.py
+++ b/aspenrill/tool/sources.py
@@ -31,7 +31,7 @@
     def wait() -> None:
         until = time.monotonic() + seconds
         sources = gathering.membership.sources.values()
-        while time.monotonic() < until and any(s.first and s.failing is None for s in sources):
+        while time.monotonic() < until and any(s.awaiting_list and s.failure is None for s in sources):
             hub.sleep(LOOK)
         found.update(report(gathering, app.kinds, time.monotonic()))
         hub.stop()
@@ -50,10 +50,14 @@
             {
                 "name": source.spec.name,
                 "type": types.get(source.spec.name, "list"),
-                "state": "fails" if source.failing is not None else "silent" if source.first else "answers",
-                "why": source.failing or "",
-                "doubted": len(source.doubted),
-                "age": None if source.heard_at is None else round(now - source.heard_at, 3),
+                "state": "fails"
+                if source.failure is not None
+                else "silent"
+                if source.awaiting_list
+                else "answers",
+                "why": source.failure or "",
+                "doubted": len(source.unconfirmed),
+                "age": None if source.updated_at is None else round(now - source.updated_at, 3),
                 "entries": [
                     {
                         "name": m.engine,
@@ -62,7 +66,7 @@
                         "priority": m.priority,
                         "weight": m.weight,
                     }
-                    for m in source.said.values()
+                    for m in source.entries.values()
                 ],
             }
         )
--- a/aspenrill/wire/bulletin.py
+++ b/aspenrill/wire/bulletin.py
@@ -9,12 +9,12 @@
 from ..members import Member, News
 from . import Malformed
 
-HEAD = struct.Struct(">IQB")  # length of the rest of the frame, number, kind
+FRAME_HEADER = struct.Struct(">IQB")  # length of the rest of the frame, number, kind
 # engine id, IPv4 address, port, state, zone, kind, cell, an ignored field, start in Unix milliseconds
-RECORD = struct.Struct(">I4sHBBBHIQ")
+ENGINE_RECORD = struct.Struct(">I4sHBBBHIQ")
 # kinds of frames
-NOTHING = 0
-WHOLE = 1
+UNCHANGED = 0
+COMPLETE_LIST = 1
 CHANGES = 2
 MAX_FRAME_SIZE = 4 * 1024 * 1024  # bytes
 # indexed by the state byte of a record
@@ -31,27 +31,29 @@
     return struct.pack(">Q", number)
 
 
-def frame_head(head: bytes) -> tuple[int, int, int]:
+def parse_frame_header(head: bytes) -> tuple[int, int, int]:
     """Parses a frame header into payload size, update number and kind."""
-    length, number, kind = HEAD.unpack(head)
-    if not HEAD.size - 4 <= length <= MAX_FRAME_SIZE:
+    length, number, kind = FRAME_HEADER.unpack(head)
+    if not FRAME_HEADER.size - 4 <= length <= MAX_FRAME_SIZE:
         raise Malformed(f"frame of {length} bytes")
-    return length - HEAD.size + 4, number, kind
+    return length - FRAME_HEADER.size + 4, number, kind
 
 
-def engines_in(size: int) -> int:
+def record_count(size: int) -> int:
     """Returns the number of records in a payload of `size` bytes."""
-    return size // RECORD.size
+    return size // ENGINE_RECORD.size
 
 
-def frame_news(number: int, kind: int, payload: bytes) -> News | None:
+def decode_update(number: int, kind: int, payload: bytes) -> News | None:
     """Decodes the update in a frame; None if the frame carries none."""
-    if kind == NOTHING:
+    if kind == UNCHANGED:
         return None
-    if kind not in (WHOLE, CHANGES) or len(payload) % RECORD.size:
+    if kind not in (COMPLETE_LIST, CHANGES) or len(payload) % ENGINE_RECORD.size:
         raise Malformed(f"frame of kind {kind} with {len(payload)} bytes")
     members = []
-    for engine_id, host, port, state, zone, engine_kind, cell, _, started in RECORD.iter_unpack(payload):
+    for engine_id, host, port, state, zone, engine_kind, cell, _, started in ENGINE_RECORD.iter_unpack(
+        payload
+    ):
         if state >= len(STATES):
             raise Malformed(f"state {state}")
         members.append(
@@ -65,10 +67,10 @@
                 started / 1000,
             )
         )
-    return News(number, kind == WHOLE, tuple(members))
+    return News(number, kind == COMPLETE_LIST, tuple(members))
 
 
-def json_news(item: dict[str, Any], zones: list[str], kinds: list[str]) -> News:
+def decode_json_update(item: dict[str, Any], zones: list[str], kinds: list[str]) -> News:
     """Decodes an update in the JSON form of the configuration."""
     try:
         roster = item["roster"]
--- a/aspenrill/wire/dns.py
+++ b/aspenrill/wire/dns.py
@@ -22,7 +22,16 @@
 SRV = 33
 OPT = 41
 IN = 1  # class
-KINDS = {"A": A, "NS": NS, "CNAME": CNAME, "SOA": SOA, "PTR": PTR, "TXT": TXT, "AAAA": AAAA, "SRV": SRV}
+RECORD_TYPES = {
+    "A": A,
+    "NS": NS,
+    "CNAME": CNAME,
+    "SOA": SOA,
+    "PTR": PTR,
+    "TXT": TXT,
+    "AAAA": AAAA,
+    "SRV": SRV,
+}
 # response codes
 NOERROR = 0
 FORMERR = 1
@@ -30,8 +39,8 @@
 NXDOMAIN = 3
 NOTIMP = 4
 REFUSED = 5
-HEAD = struct.Struct(">HHHHHH")  # id, flags, and the number of entries in each of four sections
-FIXED = struct.Struct(">HHIH")  # of a record: type, class, time to live, size of the data
+HEADER = struct.Struct(">HHHHHH")  # id, flags, and the number of entries in each of four sections
+RECORD_HEADER = struct.Struct(">HHIH")  # of a record: type, class, time to live, size of the data
 FLAG_RESPONSE = 0x8000
 FLAG_AUTHORITATIVE = 0x0400
 FLAG_TRUNCATED = 0x0200
@@ -40,7 +49,7 @@
 MAX_POINTERS = 32  # compression pointers followed in one name
 MAX_NAME_SIZE = 255  # bytes of an encoded name, RFC 1035, 2.3.4
 MAX_TTL = 0x7FFFFFFF  # seconds
-PAYLOAD = 1232  # bytes of a UDP response that is unlikely to be fragmented
+EDNS_PAYLOAD_SIZE = 1232  # bytes of a UDP response that is unlikely to be fragmented
 
 Name = tuple[str, ...]
 
@@ -77,7 +86,7 @@
     edns: bool = False
 
 
-def name_of(text: str) -> Name:
+def parse_name(text: str) -> Name:
     """Parses a dotted name into labels; a backslash escapes a dot within a label."""
     labels, label, escaped = [], "", False
     for char in text.rstrip(".") if not text.endswith("\\.") else text:
@@ -99,13 +108,13 @@
     return tuple(labels)
 
 
-def text_of(name: Name) -> str:
-    """Formats labels as a printable dotted name, which `name_of` parses back if it is UTF-8."""
+def format_name(name: Name) -> str:
+    """Formats labels as a printable dotted name, which `parse_name` parses back if it is UTF-8."""
     text = ".".join(part.replace("\\", "\\\\").replace(".", "\\.") for part in name) + "."
     return text.encode("utf-8", "backslashreplace").decode()
 
 
-def fold(name: Name) -> Name:
+def fold_case(name: Name) -> Name:
     """Lower-cases the ASCII letters of a name for comparison (RFC 4343)."""
     return tuple(
         part.lower() if part.isascii() else "".join(c.lower() if c.isascii() else c for c in part)
@@ -122,12 +131,12 @@
     return b"".join(bytes([len(raw)]) + raw for raw in map(_label_bytes, name)) + b"\0"
 
 
-def query(number: int, name: Name, kind: int, payload: int = 0) -> bytes:
+def encode_query(number: int, name: Name, kind: int, payload: int = 0) -> bytes:
     """Encodes a query for records of a type; with EDNS(0) if a payload size is given."""
     body = encode_name(name) + struct.pack(">HH", kind, IN)
     if payload:
-        body += b"\0" + FIXED.pack(OPT, payload, 0, 0)
-    return HEAD.pack(number, FLAG_RECURSION_DESIRED, 1, 0, 0, bool(payload)) + body
+        body += b"\0" + RECORD_HEADER.pack(OPT, payload, 0, 0)
+    return HEADER.pack(number, FLAG_RECURSION_DESIRED, 1, 0, 0, bool(payload)) + body
 
 
 class _Reader:
@@ -186,7 +195,7 @@
     def record(self) -> tuple[Record | None, bool]:
         """Reads a record, None if its type is not supported; and whether it is an OPT record."""
         name = self.name()
-        kind, record_class, ttl, size = self.take(FIXED)
+        kind, record_class, ttl, size = self.take(RECORD_HEADER)
         end = self.at + size
         if end > len(self.data):
             raise Malformed("record beyond the end")
@@ -237,13 +246,13 @@
 _QUESTION_FIELDS = struct.Struct(">HH")
 
 
-def read_reply(data: bytes) -> Reply:
+def parse_reply(data: bytes) -> Reply:
     """Parses a response. Raises Malformed if any part of it is invalid.
 
     The records of a truncated response are ignored, since it may end within a record.
     """
     reader = _Reader(data)
-    number, flags, questions, answers, authorities, additional = reader.take(HEAD)
+    number, flags, questions, answers, authorities, additional = reader.take(HEADER)
     if not flags & FLAG_RESPONSE or flags & OPCODE_MASK or questions > 1:
         raise Malformed("not an answer to a question")
     question = None
--- a/aspenrill/wire/http1.py
+++ b/aspenrill/wire/http1.py
@@ -7,7 +7,7 @@
 
 from . import Malformed
 
-MOST_BODY = 65536  # bytes
+MAX_BODY_SIZE = 65536  # bytes
 MAX_PAGE_SIZE = 6000  # bytes
 MAX_PAGES = 1000  # of a result
 ROW_SEPARATORS = b"\t\t\n"  # the separators in a row of three columns
@@ -17,14 +17,14 @@
 
 
 @dataclass(slots=True)
-class Head:
+class ResponseHead:
     """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
 
     @property
-    def stays(self) -> bool:
+    def keep_alive(self) -> bool:
         """Whether the connection can be reused."""
         return self.headers.get("connection", "").lower() != "close"
 
@@ -41,7 +41,13 @@
         text = self.headers.get("content-length")
         if text is None:
             return None
-        if self.chunked or len(text) > 9 or not text.isascii() or not text.isdigit() or int(text) > MOST_BODY:
+        if (
+            self.chunked
+            or len(text) > 9
+            or not text.isascii()
+            or not text.isdigit()
+            or int(text) > MAX_BODY_SIZE
+        ):
             raise Malformed(f"content-length {text[:40]!r}")
         return int(text)
 
@@ -95,7 +101,7 @@
 _cached_names: dict[str, str] = {}
 
 
-def response_head(text: str) -> Head:
+def parse_response_head(text: str) -> ResponseHead:
     """Parses a response head, given as Latin-1 text up to and including the empty line."""
     lines = text.split("\r\n")
     status_line = lines[0]
@@ -123,10 +129,10 @@
         if name == "content-length" and headers.get(name, value) != value:
             raise Malformed("two lengths")
         headers[name] = value
-    return Head(int(status), headers)
+    return ResponseHead(int(status), headers)
 
 
-def pages(head: Head) -> int:
+def page_count(head: ResponseHead) -> int:
     """Returns the number of pages of a successful result."""
     text = head.headers.get("x-batches", "")
     if not text.isascii() or not text.isdigit() or len(text) > 9 or not 1 <= int(text) <= MAX_PAGES:
@@ -134,10 +140,10 @@
     return int(text)
 
 
-def check_page(head: Head, body: bytes, number: int) -> None:
+def check_page(head: ResponseHead, body: bytes, number: int) -> None:
     """Raises Malformed unless the body is page `number` of a result: complete rows of three text columns."""
     if number == 0:
-        pages(head)
+        page_count(head)
     if head.headers.get("x-batch", "0") != str(number):
         raise Malformed(f"not page {number}")
     try:
@@ -154,9 +160,9 @@
         raise Malformed(f"a page of {len(body)} bytes that is not whole rows")
 
 
-def chunk_size(line: bytes) -> int:
+def parse_chunk_size(line: bytes) -> int:
     """Parses a chunk-size line."""
     text = line.split(b";")[0].strip()
-    if not CHUNK_SIZE.match(text) or int(text, 16) > MOST_BODY:
+    if not CHUNK_SIZE.match(text) or int(text, 16) > MAX_BODY_SIZE:
         raise Malformed(f"chunk size {line[:20]!r}")
     return int(text, 16)
--- a/aspenrill/wire/sql.py
+++ b/aspenrill/wire/sql.py
@@ -4,12 +4,12 @@
 
 import re
 
-PART = r"""(?:"[^"]*"|\[[^\]]*\]|`[^`]*`|[^\W\d][\w$\#@]*)"""
+IDENTIFIER = r"""(?:"[^"]*"|\[[^\]]*\]|`[^`]*`|[^\W\d][\w$\#@]*)"""
 LITERAL = r"""--[^\n]*|'[^']*'?|\$(?P<tag>\w*)\$.*?(?:\$(?P=tag)\$|\Z)"""
-TOKEN = re.compile(rf"{LITERAL}|\d[\w.]*|(?P<name>{PART}(?:\s*\.\s*{PART})*)", re.S)
-COMMENT_OR_LITERAL = re.compile(rf"{LITERAL}|{PART}|/\*", re.S)
+TOKEN = re.compile(rf"{LITERAL}|\d[\w.]*|(?P<name>{IDENTIFIER}(?:\s*\.\s*{IDENTIFIER})*)", re.S)
+COMMENT_OR_LITERAL = re.compile(rf"{LITERAL}|{IDENTIFIER}|/\*", re.S)
 COMMENT_DELIMITER = re.compile(r"/\*|\*/")
-DOT = re.compile(rf"({PART})(?:\s*\.\s*)?")
+NAME_PART = re.compile(rf"({IDENTIFIER})(?:\s*\.\s*)?")
 TABLE_KEYWORDS = {"from", "join", "into", "update", "table", "using", "merge", "delete", "truncate", "copy"}
 CLAUSE_KEYWORDS = {
     "where",
@@ -26,10 +26,10 @@
 }
 SPECIAL = re.compile(r"""['"`$\[#@]|--|/\*""")  # literals, quoted names or comments need the full scan
 QUALIFIED_NAME = re.compile(r"(?<!\w)([^\W\d]\w*)\s*\.\s*[^\W\d]")
-GROUP = re.compile(r"_(\d{1,9})\Z")
+GROUP_SUFFIX = re.compile(r"_(\d{1,9})\Z")
 
 
-def _bare(text: str) -> str:
+def strip_block_comments(text: str) -> str:
     """Returns the statement without its block comments, which may be nested."""
     parts, position = [], 0
     while match := COMMENT_OR_LITERAL.search(text, position):
@@ -55,14 +55,14 @@
     if statement.count(".") == 1 and not SPECIAL.search(statement):  # fast path: a single qualified name
         match = QUALIFIED_NAME.search(statement)
         if match is not None:
-            group = GROUP.search(match[1])
+            group = GROUP_SUFFIX.search(match[1])
             return int(group[1]) if group and match[1].lower() != "staging" else None
     return _table_group(statement)
 
 
 def _table_group(statement: str) -> int | None:
     if "/*" in statement:
-        statement = _bare(statement)
+        statement = strip_block_comments(statement)
     fallback, expect_table = None, False
     for match in TOKEN.finditer(statement):
         name = match["name"]
@@ -75,11 +75,11 @@
             elif word in CLAUSE_KEYWORDS:
                 expect_table = False
             continue
-        parts = DOT.findall(name)
+        parts = NAME_PART.findall(name)
         if len(parts) < 2:
             continue
         schema = parts[-2].strip('"[]`')
-        group = GROUP.search(schema)
+        group = GROUP_SUFFIX.search(schema)
         if group and schema.lower() != "staging":
             if expect_table:
                 return int(group[1])
--- a/aspenrill/wire/tds.py
+++ b/aspenrill/wire/tds.py
@@ -18,11 +18,11 @@
 # bits of a packet's status
 END_OF_MESSAGE = 1
 IGNORE = 2
-HEAD = struct.Struct(">BBHHBB")  # type, status, length with this header, SPID, packet number, window
+PACKET_HEADER = struct.Struct(">BBHHBB")  # type, status, length with this header, SPID, packet number, window
 # packet sizes in bytes
-PACKET = 4096
-LEAST_PACKET = 512
-MOST_PACKET = 32767
+DEFAULT_PACKET_SIZE = 4096
+MIN_PACKET_SIZE = 512
+MAX_PACKET_SIZE = 32767
 # token types
 DONE = 0xFD
 ERROR = 0xAA
@@ -37,33 +37,36 @@
 ORDER = 0xA9
 RETURNSTATUS = 0x79
 # bits of the status of a DONE token
-MORE = 0x1
-BAD = 0x2
-COUNT = 0x10
-ACKNOWLEDGED = 0x20
-SERVER_ERROR = 0x100
+DONE_MORE = 0x1
+DONE_ERROR = 0x2
+DONE_COUNT = 0x10
+DONE_ATTENTION = 0x20
+DONE_SERVER_ERROR = 0x100
 VERSION = 0x74000004  # TDS 7.4
 NVARCHAR = 0xE7
 COLLATION = bytes.fromhex("0904d00034")
 NOT_SUPPORTED = 2  # the encryption option of PRELOGIN
 
 
-def packet_head(head: bytes) -> tuple[int, int, int]:
+def parse_packet_header(head: bytes) -> tuple[int, int, int]:
     """Parses a packet header into type, status and size of the payload."""
-    kind, status, length, _, _, _ = HEAD.unpack(head)
-    if not HEAD.size <= length <= MOST_PACKET:
+    kind, status, length, _, _, _ = PACKET_HEADER.unpack(head)
+    if not PACKET_HEADER.size <= length <= MAX_PACKET_SIZE:
         raise Malformed(f"packet of {length} bytes")
-    return kind, status, length - HEAD.size
+    return kind, status, length - PACKET_HEADER.size
 
 
-def packets(kind: int, body: bytes, size: int = PACKET) -> bytes:
+def packets(kind: int, body: bytes, size: int = DEFAULT_PACKET_SIZE) -> bytes:
     """Encodes a complete message, split into packets of at most `size` bytes."""
-    payload_size = size - HEAD.size
+    payload_size = size - PACKET_HEADER.size
     parts = []
     for number, at in enumerate(range(0, max(1, len(body)), payload_size), 1):
         piece = body[at : at + payload_size]
         status = END_OF_MESSAGE if at + payload_size >= len(body) else 0
-        parts += [HEAD.pack(kind, status, HEAD.size + len(piece), 0, number & 0xFF, 0), piece]
+        parts += [
+            PACKET_HEADER.pack(kind, status, PACKET_HEADER.size + len(piece), 0, number & 0xFF, 0),
+            piece,
+        ]
     return b"".join(parts)
 
 
@@ -101,7 +104,7 @@
     app: str
     host: str = ""
     database: str = ""
-    packet: int = PACKET
+    packet_size: int = DEFAULT_PACKET_SIZE
 
 
 def login7(login: Login, password: str = "") -> bytes:
@@ -124,7 +127,7 @@
         data += text
     table += b"\0" * 6 + struct.pack("<HHHHHHI", at + len(data), 0, at + len(data), 0, at + len(data), 0, 0)
     head = struct.pack(
-        "<IIIIIIBBBBII", fixed + len(data), VERSION, login.packet, 7, 0, 0, 0xE0, 3, 0, 0, 0, 0
+        "<IIIIIIBBBBII", fixed + len(data), VERSION, login.packet_size, 7, 0, 0, 0xE0, 3, 0, 0, 0, 0
     )
     return head + table + data
 
@@ -140,8 +143,8 @@
             raise Malformed("LOGIN7 field beyond its end")
         return body[start : start + 2 * count].decode("utf-16-le", "replace")
 
-    size = struct.unpack_from("<I", body, 8)[0] or PACKET
-    return Login(text(40), text(48), text(36), text(68), max(LEAST_PACKET, min(MOST_PACKET, size)))
+    size = struct.unpack_from("<I", body, 8)[0] or DEFAULT_PACKET_SIZE
+    return Login(text(40), text(48), text(36), text(68), max(MIN_PACKET_SIZE, min(MAX_PACKET_SIZE, size)))
 
 
 def short_text(text: str) -> bytes:
@@ -149,10 +152,10 @@
     return bytes([len(text)]) + text.encode("utf-16-le")
 
 
-def login_answer(login: Login, name: str) -> bytes:
+def login_response(login: Login, name: str) -> bytes:
     """Encodes the tokens that accept a login."""
     ack = b"\1" + struct.pack(">I", VERSION) + short_text(name) + b"\x10\0\0\0"
-    size = b"\4" + short_text(str(login.packet)) + short_text(str(PACKET))
+    size = b"\4" + short_text(str(login.packet_size)) + short_text(str(DEFAULT_PACKET_SIZE))
     return (
         bytes([LOGINACK])
         + struct.pack("<H", len(ack))
@@ -181,7 +184,7 @@
 
 def done(status: int = 0, rows: int = 0) -> bytes:
     """Encodes a DONE token."""
-    return struct.pack("<BHHQ", DONE, status | (COUNT if rows else 0), 0xC1 if rows else 0, rows)
+    return struct.pack("<BHHQ", DONE, status | (DONE_COUNT if rows else 0), 0xC1 if rows else 0, rows)
 
 
 def error(number: int, text: str, severity: int = 16, server: str = "aspenrill") -> bytes:
@@ -253,7 +256,7 @@
         self.size = 0
         self.infos: list[tuple[int, str]] = []
 
-    def take(self, data: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         """Processes more of the response. Raises Malformed if it is invalid or larger than allowed."""
         if self.answer.ended:
             raise Malformed("tokens after the end")
@@ -271,7 +274,7 @@
                 del self.buffer[: self.position]
                 self.position = 0
         except IncompleteToken:
-            if len(self.buffer) > self.max_size + MOST_PACKET:
+            if len(self.buffer) > self.max_size + MAX_PACKET_SIZE:
                 raise Malformed("token without an end") from None
         if self.answer.ended:
             self.answer.tokens = tuple(self.result_tokens)
@@ -308,7 +311,7 @@
         if kind in (DONE, DONEPROC, DONEINPROC):
             status, _, _ = struct.unpack("<HHQ", self._read_bytes(12))
             answer.status = status
-            answer.ended = kind != DONEINPROC and not status & MORE
+            answer.ended = kind != DONEINPROC and not status & DONE_MORE
         elif kind in (ERROR, INFO):
             body = self._read_bytes(self._read_number("<H"))
             number, text = self._parse_message(body)
--- a/aspenrill/wire/thrift.py
+++ b/aspenrill/wire/thrift.py
@@ -17,8 +17,8 @@
 # types of an application exception
 UNKNOWN_METHOD = 1
 BAD_SEQUENCE = 4
-INTERNAL = 6
-PROTOCOL = 7
+INTERNAL_ERROR = 6
+PROTOCOL_ERROR = 7
 
 # types of values
 BOOL = 2
@@ -70,7 +70,7 @@
             raise Malformed(f"message ends within a value at byte {at}")
         return struct_format.unpack_from(self.data, at)[0]
 
-    def blob(self) -> bytes:
+    def binary(self) -> bytes:
         at = self.position + 4
         if at > self.end:
             raise Malformed(f"message ends within a length at byte {self.position}")
@@ -92,7 +92,7 @@
             value = self.unpack(FIXED_SIZE_STRUCTS[kind])
             return bool(value) if kind == BOOL else value
         if kind == STRING:
-            return self.blob()
+            return self.binary()
         if depth >= MAX_DEPTH:
             raise Malformed("nested too deeply")
         if kind == STRUCT:
@@ -100,8 +100,8 @@
         if kind == MAP:
             key, item = self.unpack(I8_STRUCT), self.unpack(I8_STRUCT)
             if key == item == STRING:
-                blob = self.blob
-                return {blob(): blob() for _ in range(self.count(8))}
+                binary = self.binary
+                return {binary(): binary() for _ in range(self.count(8))}
             pairs = [(self.value(key, depth + 1), self.value(item, depth + 1)) for _ in range(self.count(2))]
             if key in (STRUCT, MAP, SET, LIST):
                 return pairs
@@ -127,7 +127,7 @@
     head = reader.unpack(U32_STRUCT)
     if head >> 16 != VERSION:
         raise Malformed("not the strict binary protocol")
-    name = reader.blob().decode("utf-8", "replace")
+    name = reader.binary().decode("utf-8", "replace")
     seqid = reader.unpack(I32_STRUCT)
     try:
         args = reader.struct(0)
@@ -143,13 +143,13 @@
     return 4 + int.from_bytes(data[at : at + 4], "big")
 
 
-def number_of(framed: bytes) -> int:
+def sequence_number(framed: bytes) -> int:
     """Returns the sequence number of a complete framed message that this module encoded."""
     name_end = 12 + int.from_bytes(framed[8:12], "big")
     return int.from_bytes(framed[name_end : name_end + 4], "big", signed=True)
 
 
-def blob(data: bytes) -> bytes:
+def binary(data: bytes) -> bytes:
     """Encodes a string or binary value."""
     return struct.pack(">i", len(data)) + data
 
@@ -161,13 +161,13 @@
 
 def text_map(fields: dict[str, str]) -> bytes:
     """Encodes a map<string,string>."""
-    pairs = b"".join(blob(k.encode()) + blob(v.encode()) for k, v in fields.items())
+    pairs = b"".join(binary(k.encode()) + binary(v.encode()) for k, v in fields.items())
     return struct.pack(">bbi", STRING, STRING, len(fields)) + pairs
 
 
 def frame(kind: int, name: str, seqid: int, body: bytes) -> bytes:
     """Encodes a complete framed message; `body` holds the encoded fields of its struct."""
-    head = struct.pack(">I", VERSION << 16 | kind) + blob(name.encode()) + struct.pack(">i", seqid)
+    head = struct.pack(">I", VERSION << 16 | kind) + binary(name.encode()) + struct.pack(">i", seqid)
     return struct.pack(">i", len(head) + len(body) + 1) + head + body + b"\0"
 
 
@@ -237,7 +237,7 @@
 def answer(name: str, seqid: int, body: bytes, fields: dict[str, str], good: bool) -> bytes:
     """Encodes a reply that holds an Answer struct."""
     inner = (
-        field(STRING, 1, blob(body))
+        field(STRING, 1, binary(body))
         + field(MAP, 2, text_map(fields))
         + field(BOOL, 3, b"\1" if good else b"\0")
         + b"\0"
@@ -245,12 +245,12 @@
     return frame(REPLY, name, seqid, field(STRUCT, 0, inner))
 
 
-def thrown(name: str, seqid: int, number: int, fields: dict[str, str]) -> bytes:
+def declared_exception(name: str, seqid: int, number: int, fields: dict[str, str]) -> bytes:
     """Encodes a reply that holds a declared exception: field 1 is Shed, 2 is Fault."""
     return frame(REPLY, name, seqid, field(STRUCT, number, field(MAP, 1, text_map(fields)) + b"\0"))
 
 
-def broken(name: str, seqid: int, kind: int, text: str) -> bytes:
+def application_exception(name: str, seqid: int, kind: int, text: str) -> bytes:
     """Encodes an application exception."""
-    body = field(STRING, 1, blob(text.encode())) + field(I32, 2, struct.pack(">i", kind))
+    body = field(STRING, 1, binary(text.encode())) + field(I32, 2, struct.pack(">i", kind))
     return frame(EXCEPTION, name, seqid, body)
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -102,7 +102,7 @@
     from aspenrill.members import News
     from aspenrill.net.hub import Hub
     from aspenrill.node import platform
-    from aspenrill.wire.bulletin import json_news
+    from aspenrill.wire.bulletin import decode_json_update
 
     cpu, results = time.process_time, {"base": peak_mb()}
     hub = Hub(log=lambda line: None)
@@ -110,7 +110,10 @@
     began, node = cpu(), platform(hub, {"NODE_CONFIG": path})
     results["start"], finals = cpu() - began, Counter()
     owner, first_list = node.owner, json.loads(Path(path).read_text())["known"]["items"][0]
-    complete_list, update_number = json_news(first_list, list("abc"), ["eight", "sixteen"]).members, 1
+    complete_list, update_number = (
+        decode_json_update(first_list, list("abc"), ["eight", "sixteen"]).members,
+        1,
+    )
     del first_list
 
     class ImmediateEngines:
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -21,8 +21,8 @@
 from aspenrill.gathering import Gathering
 from aspenrill.members import Member
 from aspenrill.membership.flaps import Damping
-from aspenrill.membership.rule import Membership, Spec
-from aspenrill.membership.rules import Rules
+from aspenrill.membership.rule import Membership, MergeSpec
+from aspenrill.membership.rules import MergeRules
 from aspenrill.net.hub import Hub
 from aspenrill.resolver.cache import Lifetimes
 from aspenrill.resolver.lookup import Patience
@@ -42,11 +42,11 @@
     return f"{statistics.median(scaled):.3g} {unit} ({min(scaled):.3g} to {max(scaled):.3g})"
 
 
-def sources_of(server: NameServer, rules: Rules = Rules(), **more) -> config.Sources:  # noqa: B008
+def sources_of(server: NameServer, rules: MergeRules = MergeRules(), **more) -> config.Sources:  # noqa: B008
     """Settings with one SRV source, resolved by this stand-in of a name server."""
     resolver = config.ResolverSpec("main", (server.address,), more.pop("patience", Patience()), Lifetimes())
     return config.Sources(
-        (config.SourceSpec("records", "srv", Spec("records", False, 0.5), "main", SERVICE, **more),),
+        (config.SourceSpec("records", "srv", MergeSpec("records", False, 0.5), "main", SERVICE, **more),),
         (resolver,),
         rules,
     )
@@ -57,7 +57,7 @@
     server.srv(SERVICE, *((0, 1, e.listener.address[1], f"{e.name}.example.", "127.0.0.1") for e in engines))
 
 
-def world_behind_srv(rules: Rules) -> tuple[World, NameServer]:
+def world_behind_srv(rules: MergeRules) -> tuple[World, NameServer]:
     """Three engines, the first two of them announced by SRV records, and a front end that watches these."""
     world = World("thrift", 3, listed=False)
     server = NameServer(world.hub)
@@ -72,7 +72,7 @@
 def announcement_delays(rounds: int) -> Iterator[tuple[str, str]]:
     """Delays of announcing and withdrawing an engine, with a TTL of 1 s, under continuous requests."""
     # flap damping would hold out an engine that is announced so often
-    world, server = world_behind_srv(Rules(damping=Damping(returns=1000)))
+    world, server = world_behind_srv(MergeRules(damping=Damping(threshold=1000)))
     steady, other = world.engines[:2], world.engines[2]
     first_delays: list[float] = []
     last_delays: list[float] = []
@@ -123,10 +123,10 @@
     """
     for size in sizes:
         rng, now = random.Random(size), 1000.0
-        merged = Membership(Rules(), (Spec("roster"), Spec("srv", False, 0.5)), now)
+        merged = Membership(MergeRules(), (MergeSpec("roster"), MergeSpec("srv", False, 0.5)), now)
         rows = [engine(at) for at in range(size)]
-        merged.whole(now, "srv", rows)
-        merged.take()
+        merged.replace_list(now, "srv", rows)
+        merged.take_updates()
         change_times, list_times, module_times = [], [], []
         fleet = Fleet((8,), ())
         fleet.apply(
@@ -142,8 +142,8 @@
             now += 60.0
             at = rng.randrange(size)
             began = time.perf_counter()
-            merged.change(now, "roster", (engine(at, DRAINING),))
-            merged.take()
+            merged.apply_changes(now, "roster", (engine(at, DRAINING),))
+            merged.take_updates()
             change_times.append(time.perf_counter() - began)
             began = time.perf_counter()
             fleet.apply(
@@ -155,8 +155,8 @@
             module_times.append(time.perf_counter() - began)
             rows[at] = engine(at, DRAINING) if rows[at].state is LIVE else engine(at)
             began = time.perf_counter()
-            merged.whole(now, "srv", rows)
-            merged.take()
+            merged.replace_list(now, "srv", rows)
+            merged.take_updates()
             list_times.append(time.perf_counter() - began)
         gc.enable()
         yield (
@@ -171,9 +171,9 @@
     """Bytes per engine in the membership, and in the decision module in addition."""
     gc.collect()
     tracemalloc.start()
-    merged = Membership(Rules(), (Spec("srv", False, 0.5),), 1000.0)
-    merged.whole(1000.0, "srv", [engine(at) for at in range(size)])
-    merged.take()
+    merged = Membership(MergeRules(), (MergeSpec("srv", False, 0.5),), 1000.0)
+    merged.replace_list(1000.0, "srv", [engine(at) for at in range(size)])
+    merged.take_updates()
     gc.collect()
     membership_bytes = tracemalloc.get_traced_memory()[0]
     fleet = Fleet((8,), ())
@@ -244,7 +244,7 @@
 
 def silent_name_server(seconds: float) -> Iterator[tuple[str, str]]:
     """The only name server is silent for that long, in real time, while requests go on."""
-    world, server = world_behind_srv(Rules())
+    world, server = world_behind_srv(MergeRules())
     outcomes: list[str] = []
     results: list[str] = []
 
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -43,7 +43,7 @@
         } | changed
         fields = {k: v for k, v in fields.items() if v is not None}
         body = thrift.field(thrift.MAP, 1, thrift.text_map(fields)) + thrift.field(
-            thrift.STRING, 2, thrift.blob(statement.encode())
+            thrift.STRING, 2, thrift.binary(statement.encode())
         )
         self.conn.write(thrift.frame(thrift.CALL, "serve", self.seqid, body), time.monotonic() + 5)
 
@@ -87,7 +87,7 @@
         until = time.monotonic() + 5
         self.conn.write(tds.packets(tds.PRELOGIN, tds.prelogin()), until)
         read_packet(self.conn, until)
-        login = tds.Login(self.user, "test", packet=tds.LEAST_PACKET)
+        login = tds.Login(self.user, "test", packet_size=tds.MIN_PACKET_SIZE)
         self.conn.write(tds.packets(tds.LOGIN7, tds.login7(login)), until)
         read_packet(self.conn, until)
 
@@ -100,9 +100,9 @@
         until, reader, last = time.monotonic() + within, tds.TokenReader(1 << 20), False
         while not last:
             _, last, data = read_packet(self.conn, until)
-            reader.take(data)
+            reader.feed(data)
         answer = reader.answer
-        if answer.status & tds.ACKNOWLEDGED:
+        if answer.status & tds.DONE_ATTENTION:
             return Reply("cancelled")
         if answer.error:
             return Reply({50001: "refused", 50002: "failed"}.get(answer.error[0], "broken"))
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -29,9 +29,9 @@
             out = b""
             for number, kind, payload in self.events if self.tells else ():
                 if number > last:
-                    out, last = out + wire.HEAD.pack(len(payload) + 9, number, kind) + payload, number
+                    out, last = out + wire.FRAME_HEADER.pack(len(payload) + 9, number, kind) + payload, number
             if not out and time.monotonic() > said + 1:
-                out = wire.HEAD.pack(9, last, wire.NOTHING)
+                out = wire.FRAME_HEADER.pack(9, last, wire.UNCHANGED)
             if out:
                 conn.write(out[: self.cut], time.monotonic() + 5)
                 said = time.monotonic()
@@ -47,7 +47,7 @@
 
 def change(name: str, port: int, state: int, born_ms: int = 0) -> bytes:
     """Return a bulletin record for an engine on this host."""
-    return wire.RECORD.pack(int(name[2:], 16), b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, born_ms)
+    return wire.ENGINE_RECORD.pack(int(name[2:], 16), b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, born_ms)
 
 
 def host(name: str, port: int, born_ms: int = 0) -> dict[str, object]:
--- a/standins/lockstep.py
+++ b/standins/lockstep.py
@@ -182,7 +182,7 @@
             "opkey": "ab" * 16,
         }
         body = thrift.field(thrift.MAP, 1, thrift.text_map(fields)) + thrift.field(
-            thrift.STRING, 2, thrift.blob(statement.encode())
+            thrift.STRING, 2, thrift.binary(statement.encode())
         )
         return thrift.frame(thrift.CALL, "serve", self.number, body)
 
@@ -222,7 +222,7 @@
     if message[0] == tds.PRELOGIN:
         return tds.packets(tds.REPLY, tds.prelogin())
     if message[0] == tds.LOGIN7:
-        return tds.packets(tds.REPLY, tds.login_answer(tds.read_login7(tds_payload(message)), "bench"))
+        return tds.packets(tds.REPLY, tds.login_response(tds.read_login7(tds_payload(message)), "bench"))
     return None
 
 
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -133,7 +133,7 @@
             "opkey": key,
         }
         body = thrift.field(thrift.MAP, 1, thrift.text_map(fields)) + thrift.field(
-            thrift.STRING, 2, thrift.blob(statement.encode())
+            thrift.STRING, 2, thrift.binary(statement.encode())
         )
         self.open[self.last_number] = request
         request.sent_at = time.monotonic()
--- a/standins/soak/soakrun.py
+++ b/standins/soak/soakrun.py
@@ -76,7 +76,7 @@
         self.records = RunRecords(plan.seed)
         self.finished = False
         self.began_at = 0.0
-        self.feed = Feed(self.hub, [(1, wire.NOTHING, b"")])
+        self.feed = Feed(self.hub, [(1, wire.UNCHANGED, b"")])
         self.engines: list[SoakEngine] = []
         self.ports: dict[str, int] = {}  # by engine, where front ends reach it
         for _ in range(plan.engines):
--- a/standins/world.py
+++ b/standins/world.py
@@ -195,9 +195,9 @@
             if kind == tds.PRELOGIN:
                 self.say(conn, tds.prelogin())
             elif kind == tds.LOGIN7:
-                self.say(conn, tds.login_answer(tds.read_login7(body), self.name))
+                self.say(conn, tds.login_response(tds.read_login7(body), self.name))
             elif kind == tds.ATTENTION:
-                self.say(conn, tds.done(tds.ACKNOWLEDGED))
+                self.say(conn, tds.done(tds.DONE_ATTENTION))
             else:
                 self.batch(conn, tds.read_sql_batch(body))
 
@@ -214,7 +214,7 @@
                 number += 1
                 piece, out = out[:700], out[700:]
                 conn.write(
-                    tds.HEAD.pack(tds.REPLY, 0, 8 + len(piece), 0, number & 255, 0) + piece,
+                    tds.PACKET_HEADER.pack(tds.REPLY, 0, 8 + len(piece), 0, number & 255, 0) + piece,
                     time.monotonic() + 5,
                 )
             try:
@@ -226,13 +226,13 @@
                 raise
             if read_packet(conn, time.monotonic() + 5)[0] == tds.ATTENTION:
                 self.attempt_ended(statement, self.stopped)
-                return self.say(conn, tds.done(tds.ACKNOWLEDGED))
+                return self.say(conn, tds.done(tds.DONE_ATTENTION))
         self.attempt_ended(statement, self.ended if act.end == "ok" else None)
         if act.end == "reset":
             raise Closed
         if act.end != "ok":
             number = 10928 if act.end == "full" else 8134
-            return self.say(conn, tds.error(number, "no") + tds.done(tds.BAD))
+            return self.say(conn, tds.error(number, "no") + tds.done(tds.DONE_ERROR))
         self.say(conn, out + tds.done(rows=len(act.rows)))
 
     def say(self, conn: Connection, body: bytes) -> None:
--- a/tests/frontend.py
+++ b/tests/frontend.py
@@ -43,7 +43,7 @@
             for engine, born in zip(self.engines, born_ms, strict=True)
             if born is not None
         ]
-        self.feed.events.append((1, wire.NOTHING, b""))
+        self.feed.events.append((1, wire.UNCHANGED, b""))
         self.front.configure(settings, hosts, self.feed.listener.address)
         self.front.start(self.log_to)
 
--- a/tests/lookups.py
+++ b/tests/lookups.py
@@ -10,7 +10,7 @@
 
 
 def record(name: str, kind: int, data: object, ttl: int = 60) -> wire.Record:
-    return wire.Record(wire.name_of(name), kind, ttl, data)
+    return wire.Record(wire.parse_name(name), kind, ttl, data)
 
 
 def run_lookup(steps, world, now=0.0):
@@ -24,7 +24,7 @@
                     now,
                     question.server.address[1],
                     question.stream,
-                    wire.text_of(question.name),
+                    wire.format_name(question.name),
                     question.payload > 0,
                 )
             )
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -4,14 +4,14 @@
 
 from aspenrill.api import EngineState
 from aspenrill.members import Member
-from aspenrill.membership.rule import Membership, Spec
-from aspenrill.membership.rules import Rules
+from aspenrill.membership.rule import Membership, MergeSpec
+from aspenrill.membership.rules import MergeRules
 
 LIVE = EngineState.LIVE
 DRAINING = EngineState.DRAINING
 GONE = EngineState.GONE
-ROSTER = Spec("roster")
-SRV = Spec("srv", names_ids=False, shrink=0.5)
+ROSTER = MergeSpec("roster")
+SRV = MergeSpec("srv", has_engine_ids=False, max_shrink=0.5)
 
 
 def entry(port: int, engine_id: str = "", state: EngineState = LIVE, **more) -> Member:
@@ -25,15 +25,15 @@
 class MembershipWorld:
     """A Membership and the owner's engine list, built from the updates that the Membership publishes."""
 
-    def __init__(self, *specs: Spec, now: float = 1000.0, allows=lambda host: True, **rules) -> None:
+    def __init__(self, *specs: MergeSpec, now: float = 1000.0, allows=lambda host: True, **rules) -> None:
         self.now = now
-        self.membership = Membership(Rules(**rules), specs or (ROSTER, SRV), now, allows)
+        self.membership = Membership(MergeRules(**rules), specs or (ROSTER, SRV), now, allows)
         self.listed: dict[str, Member] = {}
         self.received: list[Member] = []
 
     def drain_updates(self) -> list[Member]:
         """Applies the pending updates to `listed` and returns them."""
-        updates = list(self.membership.take())
+        updates = list(self.membership.take_updates())
         for member in updates:
             self.listed[member.engine] = member
             if member.state is GONE:
@@ -41,14 +41,14 @@
         self.received += updates
         return updates
 
-    def whole(self, name: str, *members: Member, asked: float | None = None) -> list[Member]:
+    def replace_list(self, name: str, *members: Member, learned_at: float | None = None) -> list[Member]:
         """A complete list of one source; returns the updates."""
-        self.membership.whole(self.now, name, members, asked)
+        self.membership.replace_list(self.now, name, members, learned_at)
         return self.drain_updates()
 
-    def change(self, name: str, *members: Member) -> list[Member]:
+    def apply_changes(self, name: str, *members: Member) -> list[Member]:
         """Changes to the list of one source; returns the updates."""
-        self.membership.change(self.now, name, members)
+        self.membership.apply_changes(self.now, name, members)
         return self.drain_updates()
 
     def advance(self, seconds: float, step: float = 0.25) -> None:
@@ -70,4 +70,4 @@
 
     def count_logged(self, text: str) -> int:
         """Counts the log lines that contain a text."""
-        return sum(text in note for note in self.membership.notes)
+        return sum(text in note for note in self.membership.log_lines)
--- a/tests/merged.py
+++ b/tests/merged.py
@@ -8,18 +8,23 @@
 from aspenrill import sources as config
 from aspenrill.gathering import Gathering
 from aspenrill.membership.flaps import Damping
-from aspenrill.membership.rule import Spec
-from aspenrill.membership.rules import Rules
+from aspenrill.membership.rule import MergeSpec
+from aspenrill.membership.rules import MergeRules
 from aspenrill.membership.tiers import TierRules
 from aspenrill.resolver.cache import Lifetimes
 from aspenrill.resolver.lookup import Patience
 from standins.nameserver import NameServer
 from standins.world import SETTINGS, World
 
-SERVICE = "_data._tcp.x.example."
-SD = "_tds._tcp.x.example."
-ROSTER = config.SourceSpec("roster", "bulletin", Spec("roster"))
-RULES = Rules(confirm=0.4, restart=0.5, damping=Damping(), tiers=TierRules(step_interval=0.1, settle_for=0.5))
+SRV_SERVICE = "_data._tcp.x.example."
+DNS_SD_SERVICE = "_tds._tcp.x.example."
+BULLETIN_SOURCE = config.SourceSpec("roster", "bulletin", MergeSpec("roster"))
+RULES = MergeRules(
+    confirm_after=0.4,
+    restart_after=0.5,
+    damping=Damping(),
+    tiers=TierRules(step_interval=0.1, settle_for=0.5),
+)
 
 
 class Merged:
@@ -32,7 +37,7 @@
         types: str = "bulletin srv",
         host: str = "127.0.0.1",
         settings: api.Settings = SETTINGS,
-        rules: Rules = RULES,
+        rules: MergeRules = RULES,
     ) -> None:
         self.world = World(protocol, engines, settings, listed=False, host=host)
         self.hub, self.engines = self.world.hub, self.world.engines
@@ -44,9 +49,11 @@
             Lifetimes(min_ttl=0.1, refresh_window=(0.5, 0.6)),
         )
         rows = {
-            "bulletin": ROSTER,
-            "srv": config.SourceSpec("records", "srv", Spec("records", False, 0.5), "main", SERVICE),
-            "dns-sd": config.SourceSpec("instances", "dns-sd", Spec("instances", True, 0.5), "main", SD),
+            "bulletin": BULLETIN_SOURCE,
+            "srv": config.SourceSpec("records", "srv", MergeSpec("records", False, 0.5), "main", SRV_SERVICE),
+            "dns-sd": config.SourceSpec(
+                "instances", "dns-sd", MergeSpec("instances", True, 0.5), "main", DNS_SD_SERVICE
+            ),
         }
         self.sources = config.Sources(tuple(rows[name] for name in types.split()), (self.resolver,), rules)
         self.gathering: Gathering | None = None
@@ -62,7 +69,7 @@
     def srv(self, *engines, ttl: int = 1, **more) -> None:
         """Replaces the SRV records of the service."""
         self.server.srv(
-            SERVICE,
+            SRV_SERVICE,
             *(
                 (
                     more.get("priority", 0),
@@ -78,8 +85,12 @@
 
     def instance(self, name: str, engine, *texts: str) -> None:
         """Registers a DNS-SD instance with SRV, TXT and A records."""
-        self.server.put(f"{name}.{SD}", "SRV", f"0 0 {engine.listener.address[1]} {engine.name}.example.")
-        self.server.put(f"{name}.{SD}", "TXT", *(" ".join(f'"{text}"' for text in texts or ("v=1",)),))
+        self.server.put(
+            f"{name}.{DNS_SD_SERVICE}", "SRV", f"0 0 {engine.listener.address[1]} {engine.name}.example."
+        )
+        self.server.put(
+            f"{name}.{DNS_SD_SERVICE}", "TXT", *(" ".join(f'"{text}"' for text in texts or ("v=1",)),)
+        )
         self.server.put(f"{engine.name}.example.", "A", engine.listener.address[0])
 
     @property
--- a/tests/test_answer_writer.py
+++ b/tests/test_answer_writer.py
@@ -64,7 +64,7 @@
 def test_an_answer_beyond_the_limit_is_replaced_by_a_failure(kept):
     whole = b"".join(answer(number, b"x") for number in range(1, kept + 1))
     hub, writer, conn, far = writer_of(len(whole), 0)
-    failure = thrift.thrown("serve", 3, 2, {"reason": "answers are not read"})
+    failure = thrift.declared_exception("serve", 3, 2, {"reason": "answers are not read"})
     got: list[bytes] = []
 
     def scene() -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -158,7 +158,7 @@
     script.play(scene)
 
 
-FULL = tds.error(10928, "no") + tds.done(tds.BAD)
+FULL = tds.error(10928, "no") + tds.done(tds.DONE_ERROR)
 
 
 @pytest.mark.parametrize(
@@ -166,9 +166,9 @@
     [
         (FULL, api.Outcome.FULL),
         (tds.error(8134, "no") + FULL, api.Outcome.ERROR),
-        (tds.done(tds.MORE, 1) + FULL, api.Outcome.ERROR),  # its first statement has run
+        (tds.done(tds.DONE_MORE, 1) + FULL, api.Outcome.ERROR),  # its first statement has run
         (tds.text_columns(["a"]) + FULL, api.Outcome.ERROR),
-        (tds.done(tds.BAD), api.Outcome.ERROR),
+        (tds.done(tds.DONE_ERROR), api.Outcome.ERROR),
         (b"\xaa\x01", api.Outcome.ERROR),
     ],
 )
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -14,7 +14,7 @@
 from aspenrill.wire import Malformed
 from aspenrill.wire import dns as wire
 
-parse_name = wire.name_of
+parse_name = wire.parse_name
 NAMES = st.sampled_from(["a.example.", "b.a.example.", "_x._tcp.a.example.", "c.example."])
 UINT16 = st.integers(0, 65535)
 RDATA = st.one_of(
@@ -46,18 +46,18 @@
 @settings(derandomize=True, deadline=None, max_examples=150, database=None)
 @given(RECORDS)
 def test_messages_of_dnspython_are_parsed(rows):
-    reply = wire.read_reply(message(rows).to_wire())
-    assert reply.edns and wire.fold(reply.question[0]) == parse_name("_x._tcp.a.example")
+    reply = wire.parse_reply(message(rows).to_wire())
+    assert reply.edns and wire.fold_case(reply.question[0]) == parse_name("_x._tcp.a.example")
     assert len(reply.records) == len(rows)
     for got, (name, ttl, (kind, data)) in zip(reply.records, rows, strict=True):
-        assert (got.name, got.ttl, got.kind) == (parse_name(name), ttl, wire.KINDS[kind])
+        assert (got.name, got.ttl, got.kind) == (parse_name(name), ttl, wire.RECORD_TYPES[kind])
         if kind in ("A", "AAAA"):
             assert ip_address(got.data) == ip_address(data)
         elif kind in ("PTR", "CNAME"):
-            assert wire.text_of(got.data) == data
+            assert wire.format_name(got.data) == data
         elif kind == "SRV":
             *numbers, target = got.data
-            assert [*map(str, numbers), wire.text_of(target)] == data.split(" ")
+            assert [*map(str, numbers), wire.format_name(target)] == data.split(" ")
 
 
 @settings(derandomize=True, deadline=None, max_examples=400, database=None)
@@ -70,7 +70,7 @@
         data[at % len(data)] = value
     data = bytes(data[: len(data) - cut % len(data)] if cut % 3 == 0 else data)
     try:
-        reply = wire.read_reply(data)
+        reply = wire.parse_reply(data)
     except Malformed:
         return
     try:
@@ -78,8 +78,8 @@
     except Exception:
         return  # dnspython is stricter about parts that this parser ignores
     if not reply.truncated:
-        kinds = set(wire.KINDS.values())
-        ours = sorted((wire.text_of(r.name).lower(), r.kind, r.ttl, 1) for r in reply.records)
+        kinds = set(wire.RECORD_TYPES.values())
+        ours = sorted((wire.format_name(r.name).lower(), r.kind, r.ttl, 1) for r in reply.records)
         theirs = [row for row in rows_of(other) if row[1] in kinds]
         if all(rrset.rdclass == 1 for rrset in other.answer):
             assert [row[1:3] for row in ours] == [row[1:3] for row in theirs]
@@ -89,7 +89,7 @@
 @given(st.binary(max_size=600))
 def test_random_bytes_raise_nothing_but_malformed(data):
     try:
-        wire.read_reply(b"\0\1\x80\0" + data)
+        wire.parse_reply(b"\0\1\x80\0" + data)
     except Malformed:
         pass
 
@@ -108,13 +108,13 @@
 )
 def test_names_without_an_end(tail):
     with pytest.raises(Malformed):
-        wire.read_reply(wire.HEAD.pack(1, 0x8000, 1, 0, 0, 0) + tail)
+        wire.parse_reply(wire.HEADER.pack(1, 0x8000, 1, 0, 0, 0) + tail)
 
 
 def test_chained_compression_pointers_are_parsed_quickly():
     # 64 KB of records whose names are chains of compression pointers must not block the loop for seconds
     head = (
-        wire.HEAD.pack(1, 0x8000, 1, 4000, 0, 0)
+        wire.HEADER.pack(1, 0x8000, 1, 4000, 0, 0)
         + b"".join(b"\x01a" for _ in range(120))
         + b"\0"
         + b"\0\x21\0\1"
@@ -123,5 +123,5 @@
     for _ in range(4000):
         body += bytes([0xC0 | at >> 8, at & 255]) + b"\0\x01\0\1\0\0\0\x3c\0\4\x7f\0\0\1"
     began = time.process_time()
-    assert len(wire.read_reply(head + body).records) == 4000
+    assert len(wire.parse_reply(head + body).records) == 4000
     assert time.process_time() - began < 1.0
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -65,9 +65,9 @@
 @pytest.mark.parametrize(
     "frame, kind",
     [
-        (thrift.frame(thrift.CALL, "serve", 1, b"\x0b\0\1\x7f\xff\xff\xff"), thrift.PROTOCOL),
+        (thrift.frame(thrift.CALL, "serve", 1, b"\x0b\0\1\x7f\xff\xff\xff"), thrift.PROTOCOL_ERROR),
         (thrift.frame(thrift.CALL, "drop", 1, b""), thrift.UNKNOWN_METHOD),
-        (thrift.frame(thrift.REPLY, "serve", 1, b""), thrift.PROTOCOL),
+        (thrift.frame(thrift.REPLY, "serve", 1, b""), thrift.PROTOCOL_ERROR),
         (struct.pack(">i", 1 << 30), None),
         (struct.pack(">i", -5), None),
         (struct.pack(">i", 4) + b"GET ", None),
@@ -304,9 +304,9 @@
         until = time.monotonic() + 5
         conn.write(tds.packets(tds.LOGIN7, tds.login7(tds.Login("stranger", "x"))), until)
         reader = tds.TokenReader(4096)
-        head = tds.packet_head(conn.read(8, until))
-        reader.take(conn.read(head[2], until))
-        assert reader.answer.error[0] == 18456 and reader.answer.status & tds.BAD
+        head = tds.parse_packet_header(conn.read(8, until))
+        reader.feed(conn.read(head[2], until))
+        assert reader.answer.error[0] == 18456 and reader.answer.status & tds.DONE_ERROR
         with pytest.raises(Closed):
             conn.fill(until)
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -39,7 +39,7 @@
     attempt = Attempt(call, Peer("e", ("", 0), api.EngineState.LIVE), 0, now + 60, 1)
     attempt.began = now - ran
     attempt.state = state and (now - state[0], state[1])
-    engines._pause(attempt, None, http1.Head(202, {}), share)
+    engines._pause(attempt, None, http1.ResponseHead(202, {}), share)
     return found[0] if found else 0.0
 
 
@@ -77,7 +77,7 @@
 )
 def test_only_a_marked_refusal_proves_that_nothing_ran(status, fields, outcome):
     engines = HttpEngines(Hub(lambda text: None), Pools(), SETTINGS, CLASSES, print)
-    assert engines._error_outcome(http1.Head(status, fields)) is outcome
+    assert engines._error_outcome(http1.ResponseHead(status, fields)) is outcome
 
 
 @pytest.mark.parametrize(
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -31,9 +31,9 @@
 
 
 def frame_of(seqid: int, fields: dict[bytes, bytes], body: bytes) -> bytes:
-    pairs = b"".join(thrift.blob(k) + thrift.blob(v) for k, v in fields.items())
+    pairs = b"".join(thrift.binary(k) + thrift.binary(v) for k, v in fields.items())
     inner = thrift.field(thrift.MAP, 1, struct.pack(">bbi", 11, 11, len(fields)) + pairs)
-    inner += thrift.field(thrift.STRING, 2, thrift.blob(body))
+    inner += thrift.field(thrift.STRING, 2, thrift.binary(body))
     return thrift.frame(thrift.CALL, "serve", seqid, inner)[4:]
 
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -152,7 +152,7 @@
     def serve(conn: Connection) -> None:
         greetings.append(struct.unpack(">Q", conn.read(8, time.monotonic() + MAX_WAIT_S))[0])
         while True:
-            conn.write(wire.HEAD.pack(9, 1, wire.NOTHING), time.monotonic() + 5)
+            conn.write(wire.FRAME_HEADER.pack(9, 1, wire.UNCHANGED), time.monotonic() + 5)
             hub.sleep(1.0)
 
     def scene() -> None:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -94,11 +94,13 @@
         for name, state in changes:
             port = self.engines[name].listener.address[1]
             born = (born_at or {}).get(name, 0 if whole else now)
-            records += wire.RECORD.pack(int(name[2:], 16), b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, born)
+            records += wire.ENGINE_RECORD.pack(
+                int(name[2:], 16), b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, born
+            )
             self.published.append((name, port, state, born))
             if state == 1:
                 self.drains.setdefault(name, time.monotonic())
-        self.events.append((len(self.events) + 1, wire.WHOLE if whole else wire.CHANGES, records))
+        self.events.append((len(self.events) + 1, wire.COMPLETE_LIST if whole else wire.CHANGES, records))
 
     def publish_all(self) -> None:
         """Publishes the complete current list again."""
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -19,7 +19,7 @@
 from standins.nameserver import Act, NameServer
 from standins.scene import play
 
-N = wire.name_of
+N = wire.parse_name
 NAME = N("_tds._tcp.x.example")
 SHORT_TIMEOUTS = Patience(question=0.3, lookup=2.0)
 
@@ -45,12 +45,12 @@
 def test_a_lifetime_of_2_to_the_31_counts_as_none():
     # RFC 2181, 8: a TTL with the highest bit set counts as 0; read as a number it would never expire
     raw = (
-        wire.HEAD.pack(1, 0x8000, 0, 1, 0, 0)
+        wire.HEADER.pack(1, 0x8000, 0, 1, 0, 0)
         + wire.encode_name(N("a.b.c"))
-        + wire.FIXED.pack(wire.A, wire.IN, 1 << 31, 4)
+        + wire.RECORD_HEADER.pack(wire.A, wire.IN, 1 << 31, 4)
         + b"\x7f\0\0\1"
     )
-    assert wire.read_reply(raw).records[0].ttl == 0
+    assert wire.parse_reply(raw).records[0].ttl == 0
 
 
 def test_refreshes_are_spread():
@@ -154,7 +154,7 @@
     }
     found, questions, _ = run_lookup(
         lookup_steps(0.0, N("a.x.y"), wire.A, servers(), Patience()),
-        lambda n, a: (0.01, reply_of(a, rows[wire.text_of(a.name)])),
+        lambda n, a: (0.01, reply_of(a, rows[wire.format_name(a.name)])),
     )
     assert [r.data for r in found.records] == ["127.0.0.1"] and found.ttl == 4 and len(questions) == 3
     rows["c.x.y."] = record("c.x.y", wire.CNAME, N("A.x.y"))
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -30,7 +30,7 @@
 
 
 def frame(number: int, kind: int, payload: bytes = b"") -> bytes:
-    return bulletin.HEAD.pack(len(payload) + 9, number, kind) + payload
+    return bulletin.FRAME_HEADER.pack(len(payload) + 9, number, kind) + payload
 
 
 RECORD = struct.pack(">I4sHBBBHIQ", 1, bytes([127, 0, 0, 1]), 80, 1, 0, 0, 0, 1000, 0)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from merged import ROSTER, SD, SERVICE, Merged
+from merged import BULLETIN_SOURCE, DNS_SD_SERVICE, SRV_SERVICE, Merged
 
 from aspenrill import api
 from aspenrill.gathering import Gathering
@@ -114,8 +114,8 @@
         m.begin()
         m.listed(*m.engines)
         if not kept:
-            m.server.put(SERVICE, "SRV")
-            m.server.put("more." + SERVICE, "TXT", '"x"')
+            m.server.put(SRV_SERVICE, "SRV")
+            m.server.put("more." + SRV_SERVICE, "TXT", '"x"')
         m.server.act = lambda asked: act if asked.kind == "SRV" else Act()
         m.world.until(lambda: any("stays" in s or "second look" in s for s in m.world.logged))
         assert len(m.live) == 3
@@ -137,7 +137,7 @@
 
     def play():
         engine.act = lambda s: Work(after=1.2 if "long" in s else 0)
-        m.server.put(SD, "PTR", f"old.{SD}")
+        m.server.put(DNS_SD_SERVICE, "PTR", f"old.{DNS_SD_SERVICE}")
         m.instance("old", engine)
         m.instance("new", engine)
         m.begin()
@@ -148,13 +148,13 @@
         idle = list(before.idle)
         report.send("select long from sales_1.x")
         m.world.until(lambda: engine.running)
-        m.server.put(SD, "PTR", f"new.{SD}")
+        m.server.put(DNS_SD_SERVICE, "PTR", f"new.{DNS_SD_SERVICE}")
         m.world.until(
             lambda: any("new" in name and p.takes_work for name, p in m.world.node.owner.peers.items())
         )
         assert client.ask("select 2").rows == ROWS
         assert report.read(10).rows == ROWS and not engine.stopped
-        now = m.world.node.owner.peers[f"new.{SD}".rstrip(".")]
+        now = m.world.node.owner.peers[f"new.{DNS_SD_SERVICE}".rstrip(".")]
         assert now is not before and now.started > 0 and not before.idle
         assert idle and now.idle and not set(idle) & set(now.idle)
 
@@ -166,18 +166,18 @@
     a, b = m.engines
 
     def play():
-        m.server.put(SD, "PTR", f"a.{SD}", f"b.{SD}")
+        m.server.put(DNS_SD_SERVICE, "PTR", f"a.{DNS_SD_SERVICE}", f"b.{DNS_SD_SERVICE}")
         m.instance("a", a, "kind=std", "zone=3", "cell=9", "started=5000")
         m.instance("b", b)
         begun = time.monotonic()
         m.begin()
         m.listed(a, b)
-        entry = m.world.node.owner.gateway.fleet.engines[f"a.{SD}".rstrip(".")].entry
+        entry = m.world.node.owner.gateway.fleet.engines[f"a.{DNS_SD_SERVICE}".rstrip(".")].entry
         assert (entry.zone, entry.cell, entry.weight) == (3, 9, None)
         assert begun <= entry.started <= time.monotonic()  # the latest start that is known may be quite new
         m.instance("b", b, "state=draining")
         m.listed(a)
-        assert m.world.node.owner.peers[f"b.{SD}".rstrip(".")].state is api.EngineState.DRAINING
+        assert m.world.node.owner.peers[f"b.{DNS_SD_SERVICE}".rstrip(".")].state is api.EngineState.DRAINING
 
     m.run(play)
 
@@ -204,7 +204,7 @@
 
     def play():
         m.server.srv(
-            SERVICE,
+            SRV_SERVICE,
             *(
                 (0 if e in first else 7, 5, e.listener.address[1], f"{e.name}.example.", "127.0.0.1")
                 for e in m.engines
@@ -286,7 +286,7 @@
         m.gathering.change(
             replace(
                 m.sources,
-                sources=(records, ROSTER),
+                sources=(records, BULLETIN_SOURCE),
                 resolvers=(replace(m.resolver, servers=(other.address,)),),
             )
         )
--- a/tests/test_sources_users.py
+++ b/tests/test_sources_users.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from merged import SERVICE
+from merged import SRV_SERVICE
 from test_tool import CONFIG, GOOD, INFO
 
 from aspenrill import api, application
@@ -76,7 +76,7 @@
     hub, lines = Hub(), []
     hub.log = lines.append
     server = NameServer(hub)
-    server.srv(SERVICE, (0, 1, 7001, "a.example.", "127.0.0.1"), (0, 1, 7002, "b.example.", "127.0.0.1"))
+    server.srv(SRV_SERVICE, (0, 1, 7001, "a.example.", "127.0.0.1"), (0, 1, 7002, "b.example.", "127.0.0.1"))
     item = {
         "no": 1,
         "roster": {
@@ -175,4 +175,4 @@
 
 
 def test_names_of_services_are_as_dns_has_them():
-    assert dns.text_of(dns.name_of(SERVICE)) == SERVICE
+    assert dns.format_name(dns.parse_name(SRV_SERVICE)) == SRV_SERVICE
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -228,7 +228,7 @@
 
     body = thrift.field(
         thrift.MAP, 1, thrift.text_map({"kind": "lookup", "req": "0" * 16, "timeout": "900", "owner": "x"})
-    ) + thrift.field(thrift.STRING, 2, thrift.blob(b"select 1"))
+    ) + thrift.field(thrift.STRING, 2, thrift.binary(b"select 1"))
     with socket.create_connection(("127.0.0.1", port), 10) as sock:
         sock.settimeout(10)
         assert ask(sock, 1, "isWell", b"").args[0][3] is True
@@ -289,7 +289,7 @@
         with socket.create_connection(("127.0.0.1", port), 10) as sock:
             sock.settimeout(10)
             sock.sendall(tds.packets(tds.LOGIN7, tds.login7(tds.Login(user, "settle"))))
-            return receive(sock, tds.packet_head(receive(sock, 8))[2])[0]
+            return receive(sock, tds.parse_packet_header(receive(sock, 8))[2])[0]
 
     assert (code("clerk"), code("newcomer")) == (tds.LOGINACK, tds.ERROR)
     path.write_text("[")
@@ -313,12 +313,12 @@
 
         def ask(kind: int, body: bytes) -> bytes:
             sock.sendall(tds.packets(kind, body))
-            return receive(sock, tds.packet_head(receive(sock, 8))[2])
+            return receive(sock, tds.parse_packet_header(receive(sock, 8))[2])
 
         tds.read_prelogin(ask(tds.PRELOGIN, tds.prelogin()))
         assert ask(tds.LOGIN7, tds.login7(tds.Login("clerk", "settle")))[0] == tds.LOGINACK
         reader = tds.TokenReader(4096)
-        reader.take(ask(tds.SQL_BATCH, tds.sql_batch("select 1")))  # no engine is there
+        reader.feed(ask(tds.SQL_BATCH, tds.sql_batch("select 1")))  # no engine is there
         assert reader.answer.error[0] in (50001, 50002)
         sock.sendall(struct.pack(">BBHHBB", 1, 1, 2, 0, 0, 0))
     child.send_signal(signal.SIGTERM)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -73,9 +73,9 @@
         self.listener = Listener(hub, ("127.0.0.1", 0), self.serve, 500, "discovery")
 
     def publish(self, port: int, state: int) -> None:
-        record = wire.RECORD.pack(0, b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, 0)
+        record = wire.ENGINE_RECORD.pack(0, b"\x7f\0\0\1", port, state, 0, 0, 0, 1000, 0)
         number = len(self.events) + 2
-        self.events.append(wire.HEAD.pack(len(record) + 9, number, wire.CHANGES) + record)
+        self.events.append(wire.FRAME_HEADER.pack(len(record) + 9, number, wire.CHANGES) + record)
 
     def serve(self, conn: Connection) -> None:
         me, spoke = len(self.asked), time.monotonic()
@@ -87,7 +87,7 @@
                 out += b"".join(self.events[last - 1 :])
                 last = len(self.events) + 1
                 if not out and time.monotonic() >= spoke + 1:
-                    out = wire.HEAD.pack(9, 0, wire.NOTHING)
+                    out = wire.FRAME_HEADER.pack(9, 0, wire.UNCHANGED)
             if out:
                 conn.write(out, time.monotonic() + 5)
                 out, spoke = b"", time.monotonic()
@@ -292,8 +292,8 @@
         conn.read(8, time.monotonic() + 5)
         hub.sleep(2.0)
         conn.write(
-            wire.HEAD.pack(9 + 27, 2, wire.WHOLE)
-            + wire.RECORD.pack(1, b"\x7f\0\0\1", 80, 0, 0, 0, 0, 1000, 0),
+            wire.FRAME_HEADER.pack(9 + 27, 2, wire.COMPLETE_LIST)
+            + wire.ENGINE_RECORD.pack(1, b"\x7f\0\0\1", 80, 0, 0, 0, 0, 1000, 0),
             time.monotonic() + 5,
         )
         hub.sleep(20)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -48,7 +48,7 @@
     ],
 )
 def test_response_head(block, status, length):
-    head = http1.response_head(block.decode("latin-1"))
+    head = http1.parse_response_head(block.decode("latin-1"))
     assert (head.status, head.length) == (status, length)
 
 
@@ -69,7 +69,7 @@
 )
 def test_invalid_response_heads(block):
     with pytest.raises(Malformed):
-        _ = http1.response_head(block.decode("latin-1")).length
+        _ = http1.parse_response_head(block.decode("latin-1")).length
 
 
 def test_a_header_value_cannot_inject_a_header():
@@ -83,7 +83,7 @@
     "serve",
     7,
     thrift.field(thrift.MAP, 1, thrift.text_map({"kind": "a"}))
-    + thrift.field(thrift.STRING, 2, thrift.blob(b"select 1")),
+    + thrift.field(thrift.STRING, 2, thrift.binary(b"select 1")),
 )[4:]
 
 
@@ -115,13 +115,13 @@
     ],
 )
 def test_invalid_thrift_arguments(body):
-    head = struct.pack(">I", 0x80010001) + thrift.blob(b"serve") + struct.pack(">i", 1)
+    head = struct.pack(">I", 0x80010001) + thrift.binary(b"serve") + struct.pack(">i", 1)
     assert thrift.read_message(head + body).args is None
 
 
 def test_bulletin_frames_and_json_decode_alike():
     record = struct.pack(">I4sHBBBHIQ", 0x00C41F7A, bytes([10, 1, 0, 9]), 8080, 1, 1, 0, 2, 4000, 1500)
-    update = bulletin.frame_news(41, bulletin.CHANGES, record)
+    update = bulletin.decode_update(41, bulletin.CHANGES, record)
     item = {
         "no": 41,
         "roster": {
@@ -139,14 +139,14 @@
             ],
         },
     }
-    assert update == bulletin.json_news(item, ["west", "east"], ["std"])
-    assert bulletin.frame_news(41, bulletin.NOTHING, b"") is None
+    assert update == bulletin.decode_json_update(item, ["west", "east"], ["std"])
+    assert bulletin.decode_update(41, bulletin.UNCHANGED, b"") is None
 
 
 @pytest.mark.parametrize("kind, payload", [(3, b""), (2, b"x" * 26), (2, b"\0" * 10 + b"\7" + b"\0" * 16)])
 def test_invalid_bulletin_frames(kind, payload):
     with pytest.raises(Malformed):
-        bulletin.frame_news(1, kind, payload)
+        bulletin.decode_update(1, kind, payload)
 
 
 @pytest.mark.parametrize(
@@ -161,7 +161,7 @@
 )
 def test_invalid_bulletin_json(item):
     with pytest.raises(Malformed):
-        bulletin.json_news(item, [], [])
+        bulletin.decode_json_update(item, [], [])
 
 
 ROWS = [["1", None, "é"], ["", "b", "c" * 300]]
@@ -169,7 +169,7 @@
     tds.text_columns(["a", "b", "c"])
     + b"".join(map(tds.text_row, ROWS))
     + tds.error(50001, "no")
-    + tds.done(tds.BAD, 2)
+    + tds.done(tds.DONE_ERROR, 2)
 )
 
 
@@ -179,10 +179,12 @@
     reader, at = tds.TokenReader(1 << 16), 0
     for cut in [*cuts, len(ANSWER)]:
         if not reader.answer.ended:
-            reader.take(ANSWER[at : at + cut])
+            reader.feed(ANSWER[at : at + cut])
             at += cut
     answer = reader.answer
-    assert answer.ended and answer.rows == 2 and answer.error == (50001, "no") and answer.status & tds.BAD
+    assert (
+        answer.ended and answer.rows == 2 and answer.error == (50001, "no") and answer.status & tds.DONE_ERROR
+    )
     assert tds.rows_as_text(b"".join(answer.tokens)) == ROWS
 
 
@@ -219,7 +221,7 @@
 def test_tds_values(kind, info, value, text):
     data = column_response(kind, info, value)
     reader = tds.TokenReader(1 << 16)
-    reader.take(data)
+    reader.feed(data)
     assert reader.answer.ended and tds.rows_as_text(b"".join(reader.answer.tokens)) == [[text]]
 
 
@@ -235,7 +237,7 @@
 )
 def test_invalid_or_oversized_tds_responses(data):
     with pytest.raises(Malformed):
-        tds.TokenReader(20000).take(data)
+        tds.TokenReader(20000).feed(data)
 
 
 def test_tds_login_and_batch():
@@ -244,7 +246,7 @@
     assert tds.read_sql_batch(tds.sql_batch("select 'é'")) == "select 'é'"
     assert tds.read_prelogin(tds.prelogin())[1] == bytes([tds.NOT_SUPPORTED])
     encoded = tds.packets(tds.SQL_BATCH, b"x" * 1000, 512)
-    assert [tds.packet_head(encoded[at : at + 8])[1:] for at in (0, 512)] == [(0, 504), (1, 496)]
+    assert [tds.parse_packet_header(encoded[at : at + 8])[1:] for at in (0, 512)] == [(0, 504), (1, 496)]
 
 
 @pytest.mark.parametrize(
@@ -257,7 +259,7 @@
         (tds.read_prelogin, b""),
         (tds.read_sql_batch, b"\1"),
         (tds.read_sql_batch, struct.pack("<I", 999)),
-        (tds.packet_head, struct.pack(">BBHHBB", 1, 1, 3, 0, 1, 0)),
+        (tds.parse_packet_header, struct.pack(">BBHHBB", 1, 1, 3, 0, 1, 0)),
     ],
 )
 def test_invalid_tds_messages(read, body):
@@ -269,21 +271,21 @@
 
 
 def test_names_round_trip():
-    assert dns.name_of(dns.text_of(("a.b", "c\\d"))) == ("a.b", "c\\d")
+    assert dns.parse_name(dns.format_name(("a.b", "c\\d"))) == ("a.b", "c\\d")
 
 
 @pytest.mark.parametrize(
     "data",
     [
         b"",
-        dns.query(1, NAME, dns.PTR),
-        dns.HEAD.pack(1, 0x8000, 1, 0, 0, 0) + b"\xc0\x0c" + b"\0\x0c\0\1",
-        dns.HEAD.pack(1, 0x8000, 1, 0, 0, 0) + b"\x7fabc",
+        dns.encode_query(1, NAME, dns.PTR),
+        dns.HEADER.pack(1, 0x8000, 1, 0, 0, 0) + b"\xc0\x0c" + b"\0\x0c\0\1",
+        dns.HEADER.pack(1, 0x8000, 1, 0, 0, 0) + b"\x7fabc",
     ],
 )
 def test_invalid_dns_messages(data):
     with pytest.raises(Malformed):
-        dns.read_reply(data)
+        dns.parse_reply(data)
 
 
 @given(st.lists(st.one_of(st.binary(max_size=40), st.integers(0, 40)), max_size=40))
@@ -322,7 +324,7 @@
 )
 def test_invalid_pages(fields, body, number):
     with pytest.raises(Malformed):
-        http1.check_page(http1.Head(200, fields), body, number)
+        http1.check_page(http1.ResponseHead(200, fields), body, number)
 
 
 @pytest.mark.parametrize(
@@ -330,7 +332,7 @@
     [(PAGE, b"a\tb\tc\nd\te\t\n", 0), ({"x-batches": "1"}, b"", 0), ({"x-batch": "1"}, b"a\tb\tc\n", 1)],
 )
 def test_valid_pages(fields, body, number):
-    http1.check_page(http1.Head(200, fields), body, number)
+    http1.check_page(http1.ResponseHead(200, fields), body, number)
 
 
 @pytest.mark.parametrize(
@@ -338,7 +340,7 @@
 )
 def test_invalid_chunk_sizes(line):
     with pytest.raises(Malformed):
-        http1.chunk_size(line)
+        http1.parse_chunk_size(line)
 
 
 @pytest.mark.parametrize(
@@ -353,4 +355,4 @@
 def test_unusable_content_lengths(fields):
     # a body larger than any valid response must not be buffered
     with pytest.raises(Malformed):
-        assert http1.Head(200, fields).length is None
+        assert http1.ResponseHead(200, fields).length is None
