--- a/aspenrill/engines/http.py
+++ b/aspenrill/engines/http.py
@@ -8,7 +8,7 @@
 
 from ..api import Effect, NoteKind, Outcome, Settings
 from ..core.books import Attempt, Noted, Peer, Probed, Result
-from ..net.address import show
+from ..net.address import format_address
 from ..net.conn import Connection, time_left
 from ..net.connecting import Refused
 from ..net.hub import Closed, Hub, TimedOut
@@ -55,7 +55,7 @@
         )
         self.settings, self.classes = settings, classes
 
-    def rank(self, attempt: Attempt, priority: int) -> None:
+    def set_priority(self, attempt: Attempt, priority: int) -> None:
         """Changes the priority of an attempt in flight."""
         self.hub.spawn(self._send_priority, attempt, priority, name="priority")
 
@@ -131,7 +131,7 @@
                 raise AttemptEnded(Outcome.RESET)
             time_left(attempt.until)
             try:
-                return self.pools.take(attempt.peer, attempt.until, fresh=True)
+                return self.pools.acquire(attempt.peer, attempt.until, fresh=True)
             except Refused as why:
                 if self._process_ended(attempt, why):
                     attempt.asked = None  # the query has ended with its process
@@ -146,7 +146,7 @@
         return str(why) == "ECONNREFUSED" and peer.broke_at >= attempt.heard and not peer.idle
 
     def _host(self, peer: Peer) -> str:
-        return show(peer.address)
+        return format_address(peer.address)
 
     def _send_call(self, attempt: Attempt, conn: Connection, method: str, path: str) -> None:
         if not conn.is_idle():  # unexpected data after the last response, or end of stream
@@ -172,7 +172,7 @@
             self.pools.close(conn)
             raise
 
-    def _receive(self, attempt: Attempt, conn: Connection, page: int = 0) -> tuple[http1.ResponseHead, bytes]:
+    def _receive(self, attempt: Attempt, conn: Connection, page: int = 0) -> tuple[http1.Head, bytes]:
         try:
             head, body = self._read_response(conn, min(attempt.until, time.monotonic() + RESPONSE_TIMEOUT))
             if head.status == 200:
@@ -220,7 +220,7 @@
             return
         self._return_connection(peer, conn, head)
 
-    def _read_response(self, conn: Connection, until: float) -> tuple[http1.ResponseHead, bytes]:
+    def _read_response(self, conn: Connection, until: float) -> tuple[http1.Head, bytes]:
         conn.mid_message = False
         for _ in range(MAX_EXTRA):
             head = http1.parse_response_head(conn.read_head(until))
@@ -233,7 +233,7 @@
         conn.mid_message = False
         return found
 
-    def _read_body(self, conn: Connection, head: http1.ResponseHead, until: float) -> bytes:
+    def _read_body(self, conn: Connection, head: http1.Head, until: float) -> bytes:
         if head.chunked:
             parts, size = [], 0
             while count := http1.parse_chunk_size(conn.read_until(b"\r\n", until)):
@@ -252,14 +252,14 @@
             raise Malformed("no length")
         return conn.read(length, until)
 
-    def _return_connection(self, peer: Peer, conn: Connection, head: http1.ResponseHead) -> None:
+    def _return_connection(self, peer: Peer, conn: Connection, head: http1.Head) -> None:
         """Returns a connection to the pool after a complete response."""
         if head.keep_alive:
             self.pools.release(peer, conn)
         else:
             self.pools.close(conn)
 
-    def _post_note(self, attempt: Attempt, head: http1.ResponseHead) -> float | None:
+    def _post_note(self, attempt: Attempt, head: http1.Head) -> float | None:
         """Posts a progress note; returns the share done if the note reports that."""
         kind, amount = NOTE_KINDS.get(head.headers.get("x-remark", "")), header_number(head.headers, "x-num")
         if kind is None or amount is None:
@@ -269,9 +269,7 @@
             attempt.state = (time.monotonic(), 0.0)  # the query is waiting: progress counts from here
         return amount if kind is NoteKind.PROGRESS else None
 
-    def _pause(
-        self, attempt: Attempt, conn: Connection, head: http1.ResponseHead, share: float | None
-    ) -> Connection:
+    def _pause(self, attempt: Attempt, conn: Connection, head: http1.Head, share: float | None) -> Connection:
         """Polls a long query less often: waits for a share of its estimated remaining time."""
         if not share:
             return conn
@@ -287,20 +285,18 @@
         self._return_connection(attempt.peer, conn, head)
         self.hub.sleep(pause)
         try:
-            return self.pools.take(attempt.peer, attempt.until)
+            return self.pools.acquire(attempt.peer, attempt.until)
         except Refused:
             raise Lost from None
 
-    def _error_outcome(self, head: http1.ResponseHead) -> Outcome:
+    def _error_outcome(self, head: http1.Head) -> Outcome:
         """Returns the outcome of an error response; only X-Shed proves that nothing ran."""
         shed = head.headers.get("x-shed") == "1"
         if head.status == 504:
             return Outcome.MOOT if shed else Outcome.TIMEOUT
         return Outcome.FULL if head.status == 503 and shed else Outcome.ERROR
 
-    def _read_pages(
-        self, attempt: Attempt, conn: Connection, head: http1.ResponseHead, body: bytes
-    ) -> Result:
+    def _read_pages(self, attempt: Attempt, conn: Connection, head: http1.Head, body: bytes) -> Result:
         """Reads all pages in order; the attempt fails if one is missing."""
         count, parts, size = http1.page_count(head), [body], len(body)
         while len(parts) < count:
@@ -347,11 +343,11 @@
 
     def _call(
         self, peer: Peer, method: str, path: str, until: float, body: bytes = b"", valid: tuple[int, ...] = ()
-    ) -> http1.ResponseHead:
+    ) -> http1.Head:
         """Makes an idempotent call; repeats it after a broken or unreadable response or an invalid status."""
         for again in range(MAX_TRIES):
             try:
-                conn = self.pools.take(peer, until, fresh=again > 0)
+                conn = self.pools.acquire(peer, until, fresh=again > 0)
             except Refused as why:
                 if why.broken and again < MAX_TRIES - 1:
                     continue
--- a/aspenrill/membership/rule.py
+++ b/aspenrill/membership/rule.py
@@ -11,7 +11,7 @@
 
 from ..api import EngineState
 from ..members import Member
-from ..net.address import show
+from ..net.address import format_address
 from .engine import Engine, explain, pick_id
 from .once import OnceFilter
 from .rules import MergeRules
@@ -58,10 +58,8 @@
         rules: MergeRules | None = None,
         allows: Callable[[str], bool] | None = None,
     ) -> None:
-        """Sets the sources in order of precedence. The entries of a removed source stay until every
-        configured source has delivered its first list, at most for `handover_timeout`. Engines keep
-        their state.
-        """
+        """Sets the sources in order of precedence. Entries of a removed source stay until every configured
+        source has delivered its first list, at most for `handover_timeout`. Engines keep their state."""
         if rules is not None:
             self.rules, self.tiers.rules = rules, rules.tiers
         if allows is not None:
@@ -213,7 +211,7 @@
         self._log_once(
             source,
             host,
-            f"source {source.spec.name}: {member.engine} at {show(member.address)} is "
+            f"source {source.spec.name}: {member.engine} at {format_address(member.address)} is "
             f"skipped: the address is not allowed",
         )
 
@@ -284,7 +282,8 @@
     def _replace(self, now: float, engine: Engine, source: Source) -> None:
         """Withdraws an engine whose address another engine has taken, whichever sources named it."""
         self.log_lines.append(
-            f"engine {engine.id} at {show(engine.address)}: replaced by another engine of {source.spec.name}"
+            f"engine {engine.id} at {format_address(engine.address)}: "
+            f"replaced by another engine of {source.spec.name}"
         )
         self.engines.pop(engine.address, None)
         self.retired.pop(engine.address, None)
--- a/aspenrill/wire/http1.py
+++ b/aspenrill/wire/http1.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class ResponseHead:
+class Head:
     """Status and headers of a response; header names are in lower case."""
 
     status: int
@@ -101,7 +101,7 @@
 _cached_names: dict[str, str] = {}
 
 
-def parse_response_head(text: str) -> ResponseHead:
+def parse_response_head(text: str) -> Head:
     """Parses a response head, given as Latin-1 text up to and including the empty line."""
     lines = text.split("\r\n")
     status_line = lines[0]
@@ -129,10 +129,10 @@
         if name == "content-length" and headers.get(name, value) != value:
             raise Malformed("two lengths")
         headers[name] = value
-    return ResponseHead(int(status), headers)
+    return Head(int(status), headers)
 
 
-def page_count(head: ResponseHead) -> int:
+def page_count(head: Head) -> int:
     """Returns the number of pages of a successful result."""
     text = head.headers.get("x-batches", "")
     if not text.isascii() or not text.isdigit() or len(text) > 9 or not 1 <= int(text) <= MAX_PAGES:
@@ -140,7 +140,7 @@
     return int(text)
 
 
-def check_page(head: ResponseHead, body: bytes, number: int) -> None:
+def check_page(head: Head, body: bytes, number: int) -> None:
     """Raises Malformed unless the body is page `number` of a result: complete rows of three text columns."""
     if number == 0:
         page_count(head)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -20,7 +20,7 @@
 class Pools:
     """A pool that does nothing."""
 
-    def take(self, *_):
+    def acquire(self, *_):
         return "another"
 
     def release(self, *_):
@@ -39,7 +39,7 @@
     attempt = Attempt(call, Peer("e", ("", 0), api.EngineState.LIVE), 0, now + 60, 1)
     attempt.began = now - ran
     attempt.state = state and (now - state[0], state[1])
-    engines._pause(attempt, None, http1.ResponseHead(202, {}), share)
+    engines._pause(attempt, None, http1.Head(202, {}), share)
     return found[0] if found else 0.0
 
 
@@ -77,7 +77,7 @@
 )
 def test_only_a_marked_refusal_proves_that_nothing_ran(status, fields, outcome):
     engines = HttpEngines(Hub(lambda text: None), Pools(), SETTINGS, CLASSES, print)
-    assert engines._error_outcome(http1.ResponseHead(status, fields)) is outcome
+    assert engines._error_outcome(http1.Head(status, fields)) is outcome
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
 
     def take():
         try:
-            pools.take(peer, time.monotonic() + 5)
+            pools.acquire(peer, time.monotonic() + 5)
         except Refused as why:
             refused.append(why)
             if len(refused) == 200:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -324,7 +324,7 @@
 )
 def test_invalid_pages(fields, body, number):
     with pytest.raises(Malformed):
-        http1.check_page(http1.ResponseHead(200, fields), body, number)
+        http1.check_page(http1.Head(200, fields), body, number)
 
 
 @pytest.mark.parametrize(
@@ -332,7 +332,7 @@
     [(PAGE, b"a\tb\tc\nd\te\t\n", 0), ({"x-batches": "1"}, b"", 0), ({"x-batch": "1"}, b"a\tb\tc\n", 1)],
 )
 def test_valid_pages(fields, body, number):
-    http1.check_page(http1.ResponseHead(200, fields), body, number)
+    http1.check_page(http1.Head(200, fields), body, number)
 
 
 @pytest.mark.parametrize(
@@ -355,4 +355,4 @@
 def test_unusable_content_lengths(fields):
     # a body larger than any valid response must not be buffered
     with pytest.raises(Malformed):
-        assert http1.ResponseHead(200, fields).length is None
+        assert http1.Head(200, fields).length is None
