--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -51,7 +51,7 @@
         script.engines.cancel(attempt)
         script.until(lambda: script.posted)
         assert script.posted[0].outcome is api.Outcome.TIMEOUT and not attempt.task.done
-        assert 0 <= time.monotonic() - attempt.call.deadline
+        assert 0 <= time.monotonic() - attempt.client_request.deadline
         answer_delete.set()
         script.end(attempt)
 
@@ -185,8 +185,8 @@
         engine, engines = world.engines[0], world.node.owner.engines
         post = engines.post
         engines.post = lambda event: (seen.append(event), post(event))
-        engine.batch = lambda conn, statement: engine.say(conn, tokens)
-        world.client("once").ask("insert 1; insert 2")
+        engine.batch = lambda conn, statement: engine.respond(conn, tokens)
+        world.client("once").request("insert 1; insert 2")
         assert [end.outcome for end in seen if isinstance(end, AttemptFinished)][0] is outcome
 
     world.run(scene)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -13,7 +13,7 @@
 from aspenrill.net.conn import Connection
 from aspenrill.net.connecting import Refused
 from aspenrill.net.hub import TIMER_EXPIRED, Hub, Signal, TimedOut
-from standins.scene import play
+from standins.scenario import run_scenario
 
 LONG = 20.0  # seconds; a time-out that a passing test never reaches
 
@@ -69,7 +69,7 @@
             self.hub.yield_now()
 
     def play(self, scene) -> None:
-        play(self.hub, scene)
+        run_scenario(self.hub, scene)
         for sock in self.ends:
             sock.close()
 
@@ -178,7 +178,7 @@
     def scene() -> None:
         scenario.plan = [True]
         conn = pools.acquire(peer, time.monotonic() + LONG)
-        assert scenario.dials == 2 and (pools.count, peer.dialing) == (2, 1) and peer.failed_at < 0
+        assert scenario.dials == 2 and (pools.count, peer.connecting) == (2, 1) and peer.failed_at < 0
         if then == "comes up":
             scenario.gate.set()
         elif then == "retired":
