--- a/aspenrill/engines/http.py
+++ b/aspenrill/engines/http.py
@@ -223,7 +223,7 @@
     def _read_response(self, conn: Connection, until: float) -> tuple[http1.Head, bytes]:
         conn.mid_message = False
         for _ in range(MAX_EXTRA):
-            head = http1.response_head(conn.read_head(until))
+            head = http1.parse_response_head(conn.read_head(until))
             conn.mid_message = True
             if head.status >= 200:
                 break
@@ -236,9 +236,9 @@
     def _read_body(self, conn: Connection, head: http1.Head, until: float) -> bytes:
         if head.chunked:
             parts, size = [], 0
-            while count := http1.chunk_size(conn.read_until(b"\r\n", until)):
+            while count := http1.parse_chunk_size(conn.read_until(b"\r\n", until)):
                 size += count
-                if size > http1.MOST_BODY:
+                if size > http1.MAX_BODY_SIZE:
                     raise Malformed("body too long")
                 parts.append(conn.read(count, until))
                 if conn.read(2, until) != b"\r\n":
@@ -254,7 +254,7 @@
 
     def _return_connection(self, peer: Peer, conn: Connection, head: http1.Head) -> None:
         """Returns a connection to the pool after a complete response."""
-        if head.stays:
+        if head.keep_alive:
             self.pools.release(peer, conn)
         else:
             self.pools.close(conn)
@@ -298,7 +298,7 @@
 
     def _read_pages(self, attempt: Attempt, conn: Connection, head: http1.Head, body: bytes) -> Result:
         """Reads all pages in order; the attempt fails if one is missing."""
-        count, parts, size = http1.pages(head), [body], len(body)
+        count, parts, size = http1.page_count(head), [body], len(body)
         while len(parts) < count:
             try:
                 if conn is None:
--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -30,7 +30,7 @@
 from .settings import settings_from
 from .starttimes import StartTimes
 from .wire import Malformed
-from .wire.bulletin import json_news
+from .wire.bulletin import decode_json_update
 
 # Shares of the file descriptors for client and engine connections; the remaining 10% is for listeners, files
 # and probes.
@@ -135,7 +135,7 @@
     initial_updates = []
     for index, item in enumerate(require("known.items", list)):
         try:
-            initial_updates.append(json_news(item, info.get("areas") or [], info.get("kinds") or []))
+            initial_updates.append(decode_json_update(item, info.get("areas") or [], info.get("kinds") or []))
         except Malformed as why:
             raise ConfigError(f"known.items[{index}]: {why}") from None
         if (count := len(initial_updates[-1].members)) > max_engines:
--- a/aspenrill/sources.py
+++ b/aspenrill/sources.py
@@ -13,7 +13,7 @@
 from .api import EngineState
 from .members import Member
 from .membership.flaps import Damping
-from .membership.rule import Rules, Spec
+from .membership.rule import MergeRules, MergeSpec
 from .membership.tiers import TierRules
 from .reader import Reader, check_unique
 from .resolver.cache import Lifetimes
@@ -41,7 +41,7 @@
 
     name: str
     type: str
-    spec: Spec
+    spec: MergeSpec
     resolver: str = ""
     service: str = ""
     family: str = ADDRESS_FAMILIES[0]
@@ -57,7 +57,7 @@
 
     sources: tuple[SourceSpec, ...]
     resolvers: tuple[ResolverSpec, ...] = ()
-    rules: Rules = Rules()
+    rules: MergeRules = MergeRules()
     allow: tuple[str, ...] = ()
     deny: tuple[str, ...] = ()
 
@@ -67,7 +67,7 @@
         return ", ".join(source.type for source in self.sources)
 
     @property
-    def specs(self) -> tuple[Spec, ...]:
+    def specs(self) -> tuple[MergeSpec, ...]:
         """The specifications of the sources for the membership."""
         return tuple(source.spec for source in self.sources)
 
@@ -110,7 +110,7 @@
     """Read the DNS name of a source's service and check it."""
     text = row.text("service")
     try:
-        if text and len(dns.name_of(text)) < 3:
+        if text and len(dns.parse_name(text)) < 3:
             row.fault("service", "expected a name like _tds._tcp.billing.example")
     except Malformed as why:
         row.fault("service", str(why))
@@ -147,7 +147,7 @@
     name, source_type = row.text("name"), row.choice("type", types)
     tier, zone = int(row.number("tier", 0, 0, 65535)), int(row.number("zone", 0, 0, 255))
     shrink = row.number("shrink", 0.5 if source_type in ("dns-sd", "srv") else 1.0, 0, 1)
-    spec = Spec(name, names_ids=source_type != "srv", shrink=shrink)
+    spec = MergeSpec(name, has_engine_ids=source_type != "srv", max_shrink=shrink)
     if source_type == "bulletin":
         row.reject_unknown_fields()
         return SourceSpec(name, source_type, spec)
@@ -179,13 +179,15 @@
         row.seen |= {"resolver", "service"}
         if not engines:
             row.fault("engine", "expected at least one [[engines.engine]], as source is list")
-        return [SourceSpec("engines", "list", Spec("engines"), engines=engines)], []
+        return [SourceSpec("engines", "list", MergeSpec("engines"), engines=engines)], []
     server, service = row.address("resolver"), read_service(row)
     resolver = ResolverSpec("default", (server,), Patience(), Lifetimes())
-    return [SourceSpec("engines", "dns-sd", Spec("engines", shrink=0.5), "default", service)], [resolver]
+    return [SourceSpec("engines", "dns-sd", MergeSpec("engines", max_shrink=0.5), "default", service)], [
+        resolver
+    ]
 
 
-def _read_rules(top: Reader) -> Rules:
+def _read_rules(top: Reader) -> MergeRules:
     row, tiers = top.subtable("membership"), top.subtable("tiers")
     first_hold, max_hold = row.number("hold_s", 5, 0.1, DAY_S), row.number("hold_most_s", 300, 0.1, DAY_S)
     if max_hold < first_hold:
@@ -207,11 +209,11 @@
         tiers.number("step_ms", 1000, 10, 600000) / 1000,
         tiers.number("settle_s", 15, 0, DAY_S),
     )
-    rules = Rules(
+    rules = MergeRules(
         row.number("restart_ms", 1000, 0, 600000) / 1000,
         row.number("confirm_ms", 2000, 100, 600000) / 1000,
         row.number("handover_s", 30, 0, DAY_S),
-        most_engines=int(row.number("most_engines", 20000, 1, 100000)),
+        max_engines=int(row.number("most_engines", 20000, 1, 100000)),
         damping=damping,
         tiers=tier_rules,
     )
@@ -224,13 +226,13 @@
     texts = row.strings(name)
     if texts:
         try:
-            from .membership.addresses import networks
+            from .membership.addresses import parse_networks
         except ImportError:
             row.fault(name, "needs the package netaddr: pip install 'aspenrill[sources]'")
             return ()
         for index, text in enumerate(texts):
             try:
-                networks([text])
+                parse_networks([text])
             except ValueError as why:
                 row.fault(f"{name}[{index}]", str(why))
     return tuple(texts)
--- a/aspenrill/tool/sources.py
+++ b/aspenrill/tool/sources.py
@@ -31,7 +31,7 @@
     def wait() -> None:
         deadline = time.monotonic() + seconds
         sources = source_setup.membership.sources.values()
-        while time.monotonic() < deadline and any(s.first and s.failing is None for s in sources):
+        while time.monotonic() < deadline and any(s.awaiting_list and s.failure is None for s in sources):
             hub.sleep(POLL_INTERVAL)
         found.update(build_report(source_setup, app.kinds, time.monotonic()))
         hub.stop()
@@ -50,10 +50,14 @@
             {
                 "name": source.spec.name,
                 "type": types.get(source.spec.name, "list"),
-                "state": "fails" if source.failing is not None else "silent" if source.first else "answers",
-                "why": source.failing or "",
-                "doubted": len(source.doubted),
-                "age": None if source.heard_at is None else round(now - source.heard_at, 3),
+                "state": "fails"
+                if source.failure is not None
+                else "silent"
+                if source.awaiting_list
+                else "answers",
+                "why": source.failure or "",
+                "doubted": len(source.unconfirmed),
+                "age": None if source.updated_at is None else round(now - source.updated_at, 3),
                 "entries": [
                     {
                         "name": m.engine,
@@ -62,7 +66,7 @@
                         "priority": m.priority,
                         "weight": m.weight,
                     }
-                    for m in source.said.values()
+                    for m in source.entries.values()
                 ],
             }
         )
--- a/standins/world.py
+++ b/standins/world.py
@@ -197,9 +197,9 @@
             if kind == tds.PRELOGIN:
                 self.respond(conn, tds.prelogin())
             elif kind == tds.LOGIN7:
-                self.respond(conn, tds.login_answer(tds.read_login7(body), self.name))
+                self.respond(conn, tds.login_response(tds.read_login7(body), self.name))
             elif kind == tds.ATTENTION:
-                self.respond(conn, tds.done(tds.ACKNOWLEDGED))
+                self.respond(conn, tds.done(tds.DONE_ATTENTION))
             else:
                 self.batch(conn, tds.read_sql_batch(body))
 
@@ -216,7 +216,7 @@
                 number += 1
                 piece, out = out[:700], out[700:]
                 conn.write(
-                    tds.HEAD.pack(tds.REPLY, 0, 8 + len(piece), 0, number & 255, 0) + piece,
+                    tds.PACKET_HEADER.pack(tds.REPLY, 0, 8 + len(piece), 0, number & 255, 0) + piece,
                     time.monotonic() + 5,
                 )
             try:
@@ -228,13 +228,13 @@
                 raise
             if read_packet(conn, time.monotonic() + 5)[0] == tds.ATTENTION:
                 self.attempt_ended(statement, self.stopped)
-                return self.respond(conn, tds.done(tds.ACKNOWLEDGED))
+                return self.respond(conn, tds.done(tds.DONE_ATTENTION))
         self.attempt_ended(statement, self.ended if behaviour.end == "ok" else None)
         if behaviour.end == "reset":
             raise Closed
         if behaviour.end != "ok":
             number = 10928 if behaviour.end == "full" else 8134
-            return self.respond(conn, tds.error(number, "no") + tds.done(tds.BAD))
+            return self.respond(conn, tds.error(number, "no") + tds.done(tds.DONE_ERROR))
         self.respond(conn, out + tds.done(rows=len(behaviour.rows)))
 
     def respond(self, conn: Connection, body: bytes) -> None:
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from merged import ROSTER, SD, SERVICE, Merged
+from merged import BULLETIN_SOURCE, DNS_SD_SERVICE, SRV_SERVICE, Merged
 
 from aspenrill import api
 from aspenrill.gathering import SourceSetup
@@ -116,8 +116,8 @@
         setup.begin()
         setup.listed(*setup.engines)
         if not kept:
-            setup.server.put(SERVICE, "SRV")
-            setup.server.put("more." + SERVICE, "TXT", '"x"')
+            setup.server.put(SRV_SERVICE, "SRV")
+            setup.server.put("more." + SRV_SERVICE, "TXT", '"x"')
         setup.server.behaviour = lambda asked: act if asked.kind == "SRV" else AnswerBehaviour()
         setup.world.until(lambda: any("stays" in s or "second look" in s for s in setup.world.logged))
         assert len(setup.live) == 3
@@ -140,7 +140,7 @@
 
     def scenario():
         engine.behaviour = lambda s: EngineBehaviour(after=1.2 if "long" in s else 0)
-        setup.server.put(SD, "PTR", f"old.{SD}")
+        setup.server.put(DNS_SD_SERVICE, "PTR", f"old.{DNS_SD_SERVICE}")
         setup.instance("old", engine)
         setup.instance("new", engine)
         setup.begin()
@@ -151,13 +151,13 @@
         idle = list(before.idle)
         slow_client.send("select long from sales_1.x")
         setup.world.until(lambda: engine.running)
-        setup.server.put(SD, "PTR", f"new.{SD}")
+        setup.server.put(DNS_SD_SERVICE, "PTR", f"new.{DNS_SD_SERVICE}")
         setup.world.until(
             lambda: any("new" in name and p.takes_work for name, p in setup.world.node.owner.peers.items())
         )
         assert client.request("select 2").rows == ROWS
         assert slow_client.read(10).rows == ROWS and not engine.stopped
-        now = setup.world.node.owner.peers[f"new.{SD}".rstrip(".")]
+        now = setup.world.node.owner.peers[f"new.{DNS_SD_SERVICE}".rstrip(".")]
         assert now is not before and now.started > 0 and not before.idle
         assert idle and now.idle and not set(idle) & set(now.idle)
 
@@ -169,20 +169,22 @@
     a, b = setup.engines
 
     def scenario():
-        setup.server.put(SD, "PTR", f"a.{SD}", f"b.{SD}")
+        setup.server.put(DNS_SD_SERVICE, "PTR", f"a.{DNS_SD_SERVICE}", f"b.{DNS_SD_SERVICE}")
         setup.instance("a", a, "kind=std", "zone=3", "cell=9", "started=5000")
         setup.instance("b", b)
         begun = time.monotonic()
         setup.begin()
         setup.listed(a, b)
-        entry = setup.world.node.owner.gateway.fleet.engines[f"a.{SD}".rstrip(".")].entry
+        entry = setup.world.node.owner.gateway.fleet.engines[f"a.{DNS_SD_SERVICE}".rstrip(".")].entry
         assert (entry.zone, entry.cell, entry.weight) == (3, 9, None)
         assert (
             begun <= entry.started <= time.monotonic()
         )  # no clock offset is known yet, so the start may be recent
         setup.instance("b", b, "state=draining")
         setup.listed(a)
-        assert setup.world.node.owner.peers[f"b.{SD}".rstrip(".")].state is api.EngineState.DRAINING
+        assert (
+            setup.world.node.owner.peers[f"b.{DNS_SD_SERVICE}".rstrip(".")].state is api.EngineState.DRAINING
+        )
 
     setup.run(scenario)
 
@@ -209,7 +211,7 @@
 
     def scenario():
         setup.server.srv(
-            SERVICE,
+            SRV_SERVICE,
             *(
                 (0 if e in first else 7, 5, e.listener.address[1], f"{e.name}.example.", "127.0.0.1")
                 for e in setup.engines
@@ -301,7 +303,7 @@
         setup.source_setup.reconfigure(
             replace(
                 setup.sources,
-                sources=(records, ROSTER),
+                sources=(records, BULLETIN_SOURCE),
                 resolvers=(replace(setup.resolver, servers=(other_server.address,)),),
             )
         )
--- a/tests/test_sources_users.py
+++ b/tests/test_sources_users.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from merged import SERVICE
+from merged import SRV_SERVICE
 from test_tool import NODE_CONFIGURATION, PLATFORM_SETTINGS, VALID_FILE
 
 from aspenrill import api, application
@@ -78,7 +78,7 @@
     hub, log_lines = Hub(), []
     hub.log = log_lines.append
     server = NameServer(hub)
-    server.srv(SERVICE, (0, 1, 7001, "a.example.", "127.0.0.1"), (0, 1, 7002, "b.example.", "127.0.0.1"))
+    server.srv(SRV_SERVICE, (0, 1, 7001, "a.example.", "127.0.0.1"), (0, 1, 7002, "b.example.", "127.0.0.1"))
     initial_list = {
         "no": 1,
         "roster": {
@@ -181,4 +181,4 @@
 
 
 def test_service_names_survive_encoding_and_decoding():
-    assert dns.text_of(dns.name_of(SERVICE)) == SERVICE
+    assert dns.format_name(dns.parse_name(SRV_SERVICE)) == SRV_SERVICE
