--- a/aspenrill/core/books.py
+++ b/aspenrill/core/books.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, Protocol
 
 from ..api import EngineState, NoteKind, Outcome
 
@@ -218,3 +218,22 @@
 @dataclass(slots=True)
 class Closing:
     """The process is about to exit: every open request gets its answer now."""
+
+
+class Engines(Protocol):
+    """What the owner needs from the code that connects to engines."""
+
+    def start(self, attempt: Attempt) -> None:
+        """Starts the attempt in a task of its own."""
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancels the attempt."""
+
+    def set_priority(self, attempt: Attempt, priority: int) -> None:
+        """Changes the priority of an attempt in flight, if the protocol supports it."""
+
+    def probe(self, peer: Peer) -> None:
+        """Probes the engine in a task of its own, which posts the result."""
+
+    def retire(self, peer: Peer) -> None:
+        """Stops sending work to an engine and closes its idle connections."""
--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -5,14 +5,14 @@
 import time
 import traceback
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
 from .. import api
 from ..control import Gateway
 from ..members import EngineListUpdate
 from ..net.hub import Hub, Queue
 from . import books
-from .books import Attempt, ClientRequest, Failed, Final, Peer, Refused, Served
+from .books import Attempt, ClientRequest, Engines, Failed, Final, Peer, Refused, Served
 from .enginelist import limit_list, update_peers
 from .requestlog import RequestLog
 
@@ -21,16 +21,6 @@
 EXPIRY_GRACE = 0.03  # seconds after its deadline at which a request without an answer fails here
 
 
-class Engines(Protocol):
-    """What the owner needs from the code that connects to engines."""
-
-    def start(self, attempt: Attempt) -> None: ...
-    def cancel(self, attempt: Attempt) -> None: ...
-    def set_priority(self, attempt: Attempt, priority: int) -> None: ...
-    def probe(self, peer: Peer) -> None: ...
-    def retire(self, peer: Peer) -> None: ...
-
-
 class Owner:
     """Runs the decision module. Every event goes through `queue`."""
 
