--- a/aspenrill/fleet/authority/election.py
+++ b/aspenrill/fleet/authority/election.py
@@ -180,6 +180,7 @@
     def on_lease_request(
         self, now: float, sender: str, incarnation: int, request: LeaseRequest
     ) -> list[Effect]:
+        """Answers a lease request; if it is granted, this process stops its own candidacy."""
         if request.incarnation != incarnation:
             return []
         given_up: list[Effect] = []
@@ -206,6 +207,7 @@
         ]
 
     def on_vote(self, now: float, sender: str, incarnation: int, vote: Vote) -> list[Effect]:
+        """Records a vote for this epoch and takes the next step of the election."""
         leadership = self.leadership
         if vote.incarnation != self.incarnation:
             return []
@@ -235,16 +237,19 @@
         return effects
 
     def on_release(self, now: float, sender: str, incarnation: int, release: Release) -> list[Effect]:
+        """Releases the lease that the sender held; a candidacy here starts after a short delay."""
         if release.incarnation == incarnation and self.voter.release(now, sender, incarnation, release):
             self.candidacy_at = now + self.rng.uniform(0, HANDOVER_DELAY_FACTOR * self.rules.election_delay)
         return []
 
     def on_read_log(self, now: float, sender: str, incarnation: int, read: ReadLog) -> list[Effect]:
+        """Sends the requested part of the log to the process that holds the promise of this voter."""
         if read.incarnation != incarnation or not self.voter.has_promised_to(sender, incarnation, read.epoch):
             return []
         return [post(sender, self.voter.read_tail(read.after))] if self.voter.promise is not None else []
 
     def on_log_tail(self, now: float, sender: str, incarnation: int, tail: LogTail) -> list[Effect]:
+        """Records a part of a voter's log, and requests the next part if one is missing."""
         leadership = self.leadership
         if (
             leadership is None
@@ -276,6 +281,7 @@
     def on_admission_request(
         self, now: float, sender: str, incarnation: int, request: AdmissionRequest
     ) -> list[Effect]:
+        """Answers a voter without stored state: never granted, or the state it may start from."""
         if request.incarnation != incarnation:
             return []
         if self.voter.promise is None or self.voter.promise == Promise():
@@ -290,6 +296,7 @@
         return [post(sender, Admission(request.incarnation, leadership.epoch, self.incarnation, last, end))]
 
     def on_never_granted(self, now: float, sender: str, answer: NeverGranted) -> list[Effect]:
+        """Starts the voter with blank state once all other voters report that they never granted."""
         if answer.incarnation == self.incarnation and self.voter.promise is None:
             self.blank_voters.add(sender)
             if len(self.blank_voters) == len(self.others):
@@ -297,6 +304,7 @@
         return []
 
     def on_admission(self, now: float, sender: str, incarnation: int, admission: Admission) -> list[Effect]:
+        """Records an admission by the coordinator; the voter joins once its log has caught up."""
         if (
             admission.incarnation != self.incarnation
             or admission.coordinator_incarnation != incarnation
--- a/aspenrill/fleet/peers/detector.py
+++ b/aspenrill/fleet/peers/detector.py
@@ -56,8 +56,11 @@
 class Sender(Protocol):
     """Sends the detector's messages."""
 
-    def send(self, now: float, record: Record, message: Message) -> None: ...
-    def send_to(self, now: float, address: tuple[str, int], boot_id: bytes, message: Message) -> None: ...
+    def send(self, now: float, record: Record, message: Message) -> None:
+        """Sends a message to a member."""
+
+    def send_to(self, now: float, address: tuple[str, int], boot_id: bytes, message: Message) -> None:
+        """Sends a message to the process with this boot id at an address."""
 
 
 @dataclass(eq=False, slots=True)
--- a/aspenrill/fleet/peers/name_conflict.py
+++ b/aspenrill/fleet/peers/name_conflict.py
@@ -26,9 +26,14 @@
 class Node(Protocol):
     """The operations of the peer node that resolving a conflict needs."""
 
-    def send_to(self, now: float, address: tuple[str, int], boot_id: bytes, message: Message) -> None: ...
-    def withdraw(self, now: float, elder_address: str) -> None: ...
-    def take_over(self, now: float, incarnation: int) -> None: ...
+    def send_to(self, now: float, address: tuple[str, int], boot_id: bytes, message: Message) -> None:
+        """Sends a message to the process with this boot id at an address."""
+
+    def withdraw(self, now: float, elder_address: str) -> None:
+        """Gives the name up to a running elder process: announces LEFT and stops sending."""
+
+    def take_over(self, now: float, incarnation: int) -> None:
+        """Takes the name over from a process that no longer runs or has withdrawn."""
 
 
 @dataclass(eq=False, slots=True)
