--- a/aspenrill/fleet/overload/part.py
+++ b/aspenrill/fleet/overload/part.py
@@ -15,14 +15,15 @@
 from .ledger import Ledger, Out
 from .probes import ProbeSchedule
 from .retries import RetryBudget
-from .rules import KINDS, Rules
+from .rules import Rules
 from .shares import SheddingThreshold, allocate, band
 from .steering import Steering
 
 if TYPE_CHECKING:
     from ..interface import View
 
-THREADS, RETRIES = range(len(KINDS))  # indices into KINDS
+THREADS = 0  # index into KINDS: threads at warm engines
+RETRIES = 1  # index into KINDS: retries
 CAPACITY_TOPIC = "overload.whole"
 DEMAND_TOPIC = "overload.demand"
 PROBES_TOPIC = "overload.probes"
--- a/aspenrill/fleet/purges/wire.py
+++ b/aspenrill/fleet/purges/wire.py
@@ -13,7 +13,10 @@
 
 from ..kept import scopes
 
-MEMBER, BUILDING, SITE, ROOT = range(4)  # levels of the tree
+MEMBER = 0  # lowest level of the tree: one process
+BUILDING = 1  # level of the tree: relay of a building
+SITE = 2  # level of the tree: relay of a site
+ROOT = 3  # highest level of the tree
 MAX_LIST_BYTES = 760  # bytes of an encoded list of purges or scopes; keeps a body under 900 bytes
 MAX_STATUS_ITEMS = 24  # purges in one answer of the coordinator
 MAX_NAMES = 6  # reported names of members that are not clear
--- a/aspenrill/net/hub.py
+++ b/aspenrill/net/hub.py
@@ -19,7 +19,8 @@
 from .eventlog import EventLog
 from .timers import Timers
 
-READ, WRITE = select.POLLIN, select.POLLOUT
+READ = select.POLLIN  # poll event: readable
+WRITE = select.POLLOUT  # poll event: writable
 ERROR_EVENTS = select.POLLERR | select.POLLHUP | select.POLLNVAL
 MAX_SWITCHES_PER_ROUND = 256  # task switches between two polls of descriptors and timers
 LAG_CHECK_INTERVAL = 0.02  # seconds between two measurements of the event loop lag
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -10,7 +10,9 @@
 from aspenrill.net.listener import Listener
 from aspenrill.wire import bulletin as wire
 
-LIVE, DRAINING, GONE = range(3)  # engine states as encoded in bulletin records
+LIVE = 0  # engine states as encoded in bulletin records: in service
+DRAINING = 1  # terminating: takes no new work
+GONE = 2  # terminated
 
 
 class BulletinServer:
