--- a/aspenrill/control.py
+++ b/aspenrill/control.py
@@ -57,7 +57,7 @@
         self.gap_level = 0
         self.base_gap = 0.0
         self.next_entry_at = 0.0
-        self.gap_kept_until = 0.0
+        self.gap_hold_until = 0.0
         self.next_gap_check_at = now
         # How the load of engines is known; see View._on_list.
         self.uses_reported_load = self.uses_capacity_share = self.uses_gossip = self.may_page = False
--- a/aspenrill/core/books.py
+++ b/aspenrill/core/books.py
@@ -210,9 +210,9 @@
 
 @dataclass(slots=True)
 class UnhealthyQuery:
-    """A query for the engines that are unhealthy now; `tell` is called with their ids."""
+    """A query for the engines that are unhealthy now; `on_result` is called with their ids."""
 
-    tell: Callable[[list[str]], None]
+    on_result: Callable[[list[str]], None]
 
 
 @dataclass(slots=True)
--- a/aspenrill/core/owner.py
+++ b/aspenrill/core/owner.py
@@ -61,8 +61,8 @@
 
     # ---- events ---------------------------------------------------------------------------------------
 
-    def _on_request_received(self, asked: books.RequestReceived) -> None:
-        request = asked.client_request
+    def _on_request_received(self, received: books.RequestReceived) -> None:
+        request = received.client_request
         if not request.open:
             return
         if request.gone:  # its `ClientLeft` event follows
@@ -93,9 +93,9 @@
             self.hub.timers.after(found.until - now, self.queue.put, books.WaitExpired(request))
         return True
 
-    def _on_wait_expired(self, tired: books.WaitExpired) -> None:
-        if self.answer_cache.stop_waiting(tired.client_request) and tired.client_request.open:
-            self._start_request(tired.client_request)
+    def _on_wait_expired(self, expired: books.WaitExpired) -> None:
+        if self.answer_cache.stop_waiting(expired.client_request) and expired.client_request.open:
+            self._start_request(expired.client_request)
 
     def _start_request(self, request: ClientRequest) -> None:
         if self.closed:
@@ -185,9 +185,9 @@
         elif outcome is api.Outcome.OK:
             peer.failed_connects = 0
 
-    def _on_unhealthy_query(self, asked: books.UnhealthyQuery) -> None:
+    def _on_unhealthy_query(self, query: books.UnhealthyQuery) -> None:
         engines = self.gateway.fleet.engines
-        asked.tell(
+        query.on_result(
             [
                 name
                 for name, peer in self.peers.items()
@@ -204,8 +204,8 @@
             self.fleet_feed.on_probe_result(end)
         self._decide(api.ProbeEnded(end.peer.engine, end.outcome, end.latency, end.report))
 
-    def _on_gossip_received(self, heard: books.GossipReceived) -> None:
-        self._decide(api.PeerMessage(heard.sender, heard.data))
+    def _on_gossip_received(self, gossip: books.GossipReceived) -> None:
+        self._decide(api.PeerMessage(gossip.sender, gossip.data))
 
     def _on_timer_expired(self, due: books.TimerExpired) -> None:
         self._decide(api.TimerDue(due.name))
@@ -216,16 +216,16 @@
         for request in list(self.open.values()):
             self._final(request, Failed("ending"))
 
-    def _on_news(self, news: EngineListUpdate) -> None:
-        news = limit_list(news, self.peers, self.max_engines, self.hub.log)
-        retired = update_peers(news, self.peers)
+    def _on_list_update(self, update: EngineListUpdate) -> None:
+        update = limit_list(update, self.peers, self.max_engines, self.hub.log)
+        retired = update_peers(update, self.peers)
         for peer in retired:  # all are marked: even after an error here none gets work
             try:
                 self.engines.retire(peer)
             except Exception:
                 self._fault(f"owner, retiring {peer.engine}")
         mode = api.ListMode.CHANGES
-        if news.complete:
+        if update.complete:
             mode = api.ListMode.COMPLETE if self.listed else api.ListMode.REMEMBERED
         self.listed = True
         self._decide(
@@ -235,7 +235,7 @@
                     api.EngineEntry(
                         m.engine, m.state, m.kind, m.zone, m.cell, m.started, m.priority, m.weight
                     )
-                    for m in news.members
+                    for m in update.members
                 ),
             )
         )
@@ -382,7 +382,7 @@
         books.UnhealthyQuery: _on_unhealthy_query,
         books.GossipReceived: _on_gossip_received,
         books.WaitExpired: _on_wait_expired,
-        EngineListUpdate: _on_news,
+        EngineListUpdate: _on_list_update,
         api.ClientGone: _decide,
         api.AttemptEnded: _decide,
     }
--- a/aspenrill/fleet/authority/follower.py
+++ b/aspenrill/fleet/authority/follower.py
@@ -190,8 +190,8 @@
         roots = len(self._roots(tree))
         if self.view.name in self.rules.voters:
             return (tree, roots, tree.index(self.view.name)) if self.view.name in tree else None
-        members, mine = self.view.members(), (self.view.place, self.view.name)
-        at = bisect_left(range(roots, len(tree)), mine, key=lambda i: (members[tree[i]].place, tree[i]))
+        members, own_key = self.view.members(), (self.view.place, self.view.name)
+        at = bisect_left(range(roots, len(tree)), own_key, key=lambda i: (members[tree[i]].place, tree[i]))
         return (tree, roots, roots + at) if roots and roots + at < len(tree) else None
 
     def _parent(self) -> str | None:
--- a/aspenrill/fleet/joining.py
+++ b/aspenrill/fleet/joining.py
@@ -62,8 +62,8 @@
         raise ConfigError(why.line()) from None
     operator.start(service)
 
-    def on_load(news: LoadUpdate) -> None:
-        service.execute(components.purges, components.purges.load(boottime(), news))
+    def on_load(update: LoadUpdate) -> None:
+        service.execute(components.purges, components.purges.load(boottime(), update))
         service.dispatch()
 
     if node.settings.may_gossip:
@@ -73,8 +73,8 @@
         bridge = Bridge(components.overload) if components.overload is not None else None
         if bridge is not None:
             bridge.started()
-        node.owner.fleet_feed = feed = RequestFeed(node.owner, components, bridge)
-        hub.spawn(lambda: _run_feed(hub, service, feed), name="feed")
+        node.owner.fleet_feed = request_feed = RequestFeed(node.owner, components, bridge)
+        hub.spawn(lambda: _run_request_feed(hub, service, request_feed), name="feed")
     node.announce_leave = service.leave
 
     def reload() -> None:
@@ -92,10 +92,10 @@
     return reload
 
 
-def _run_feed(hub: Hub, service: Service, feed: RequestFeed) -> None:
+def _run_request_feed(hub: Hub, service: Service, request_feed: RequestFeed) -> None:
     while service.link.open:
         try:
-            feed.flush(boottime())
+            request_feed.flush(boottime())
         except Exception as why:
             service.log("feed", repr(why))
         hub.sleep(FLUSH_INTERVAL)
--- a/aspenrill/fleet/overload/bridge.py
+++ b/aspenrill/fleet/overload/bridge.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from .facts import Facts, whole_threads
+from .facts import Facts, integer_threads
 from .part import OverloadComponent
 from .rules import name_hash
 
@@ -71,7 +71,7 @@
 
     def slots(self, now: float) -> int:
         """`threads` as an integer: the fraction is one more thread for that fraction of the time."""
-        return whole_threads(self.part.threads(now), now, self.phase)
+        return integer_threads(self.part.threads(now), now, self.phase)
 
     def may_retry(self, now: float) -> bool:
         """Take a retry from the budget; False if none is left."""
--- a/aspenrill/fleet/overload/facts.py
+++ b/aspenrill/fleet/overload/facts.py
@@ -28,7 +28,7 @@
     return next((amount for until, amount in capacity if now < until), 0.0)
 
 
-def whole_threads(capacity: float, now: float, phase: float) -> int:
+def integer_threads(capacity: float, now: float, phase: float) -> int:
     """A capacity share as whole threads: the fraction is one more thread for that share of each
     `FRACTION_PERIOD`. `phase` (0 to 1) differs by process, so that not all have the extra thread at once."""
     full = math.floor(capacity)
--- a/aspenrill/fleet/peers/exchange.py
+++ b/aspenrill/fleet/peers/exchange.py
@@ -213,9 +213,9 @@
                 if theirs.get(entry.topic, (-1, 0)) < (entry.incarnation, entry.version)
             ]
         for origin, topics in self._peer_versions.items():
-            mine = shared.by_origin.get(origin, {})
+            known_entries = shared.by_origin.get(origin, {})
             for topic, version in topics.items():
-                have = mine.get(topic)
+                have = known_entries.get(topic)
                 if have is None or (have.incarnation, have.version) < version:
                     wanted.append((origin, topic))
         yield from self._chunks(updates, (), (Raw(encode(entry)) for entry in entries), wanted)
--- a/aspenrill/fleet/peers/keys.py
+++ b/aspenrill/fleet/peers/keys.py
@@ -55,9 +55,9 @@
     return hmac.digest(key, b"".join(parts), "sha256")[:TAG_BYTES]
 
 
-def equal(mine: bytes, theirs: bytes) -> bool:
+def equal(expected: bytes, received: bytes) -> bool:
     """Compare two tags in constant time."""
-    return hmac.compare_digest(mine, theirs)
+    return hmac.compare_digest(expected, received)
 
 
 def read_keys(path: str, fleet: str) -> KeyRing:
--- a/aspenrill/fronts/thrift_answers.py
+++ b/aspenrill/fronts/thrift_answers.py
@@ -58,10 +58,10 @@
 
     def forget(self, seqid: int) -> None:
         """Drops a queued answer that the client has cancelled, unless it is partly sent."""
-        kept = deque(each for each in self._queue if each[0] != seqid)
-        if len(kept) < len(self._queue):
-            self.unread.total += sum(len(data) for _, data in kept) - self._queued_bytes()
-            self._queue = kept
+        remaining = deque(each for each in self._queue if each[0] != seqid)
+        if len(remaining) < len(self._queue):
+            self.unread.total += sum(len(data) for _, data in remaining) - self._queued_bytes()
+            self._queue = remaining
 
     def flush(self) -> None:
         """Sends the messages queued since the last flush."""
--- a/aspenrill/net/conn.py
+++ b/aspenrill/net/conn.py
@@ -346,9 +346,9 @@
 
     def write_parts(self, parts: list[bytes], until: float | None) -> None:
         """Like `write` for a list of buffers; copies nothing if the kernel accepts all of them at once."""
-        rest = self.try_write_parts(parts)
-        if rest:
-            self.write(rest, until)
+        unsent = self.try_write_parts(parts)
+        if unsent:
+            self.write(unsent, until)
 
     def try_write_parts(self, parts: list[bytes]) -> bytes:
         """Sends what the kernel accepts at once, if nothing is queued; returns the unsent data."""
--- a/aspenrill/node.py
+++ b/aspenrill/node.py
@@ -286,14 +286,14 @@
     source_setup = _start_sources(hub, node, sources_file, config.kinds)
     start_times = StartTimes(config.most_engines, min(MAX_BULLETIN_DELAY, config.settings.cold_for / 2))
 
-    def on_bulletin_update(news: EngineListUpdate, deliver: Callable[[Any], None]) -> None:
+    def on_bulletin_update(update: EngineListUpdate, deliver: Callable[[Any], None]) -> None:
         if source_setup is None:
-            deliver(start_times.convert_update(time.monotonic(), news))
+            deliver(start_times.convert_update(time.monotonic(), update))
         else:
-            source_setup.on_bulletin_update(news)
+            source_setup.on_bulletin_update(update)
 
-    for news in config.initial_updates:
-        on_bulletin_update(news, node.owner.take)
+    for update in config.initial_updates:
+        on_bulletin_update(update, node.owner.take)
     keyed = [c.effect is api.Effect.KEYED for c in config.settings.classes]
     node.listen(
         config.listen,
@@ -314,7 +314,7 @@
         hub,
         config.bulletin,
         config.last_event,
-        lambda news: on_bulletin_update(news, node.post),
+        lambda update: on_bulletin_update(update, node.post),
         config.most_engines,
     )
     bulletin.start()
--- a/aspenrill/policy/admission.py
+++ b/aspenrill/policy/admission.py
@@ -145,7 +145,7 @@
                 1 - TARGET_LOAD * (PAGING_LOAD_FACTOR if self.may_page else 1) / max(1e-3, self.mean_load),
             )
         if loss_ratio > LEVEL_DOWN_RATIO:
-            self.gap_kept_until = self.now + GAP_HOLD_WINDOWS * window
+            self.gap_hold_until = self.now + GAP_HOLD_WINDOWS * window
         if loss_ratio > 1 - 1 / GAP_STEP:
             if not self.gap_level:
                 self.base_gap, self.next_entry_at = window / total, self.now
@@ -154,8 +154,8 @@
             self.gap_level = min(
                 MAX_PAGING_LEVEL if self.may_page else MAX_LEVEL, self.gap_level + max(1, levels)
             )
-        elif self.gap_level and (loss_ratio < LEVEL_DOWN_RATIO or self.now > self.gap_kept_until):
-            self.gap_level = self.gap_level - 1 if self.now <= self.gap_kept_until else 0
+        elif self.gap_level and (loss_ratio < LEVEL_DOWN_RATIO or self.now > self.gap_hold_until):
+            self.gap_level = self.gap_level - 1 if self.now <= self.gap_hold_until else 0
         if self.gap_level != before:
             self.next_gap_check_at = self.now + (
                 window / 2 if self.may_page and self.gap_level > before else window
--- a/aspenrill/resolver/client.py
+++ b/aspenrill/resolver/client.py
@@ -14,14 +14,14 @@
 from ..net.hub import READ, Closed, Hub, Queue, Signal, TimedOut
 from ..wire import Malformed, dns
 from .cache import Answer, Cache, Lifetimes
-from .lookup import Failed, Outcome, Patience, Question, lookup_steps
+from .lookup import Failed, LookupTimeouts, Outcome, Question, lookup_steps
 from .servers import Address, Servers
 
 MAX_OPEN_QUERIES = 16  # at a time, each with a file descriptor
 MAX_UNRELATED_REPLIES = 32  # datagrams that match no query, after which TCP is used
 PORTS = (1024, 65536)  # source ports, from and below
 PORT_TRIES = 8  # random ports tried before the system chooses one
-DEFAULT_TIMEOUTS = Patience()
+DEFAULT_TIMEOUTS = LookupTimeouts()
 DEFAULT_LIFETIMES = Lifetimes()
 
 
@@ -32,7 +32,7 @@
         self,
         hub: Hub,
         servers: Sequence[Address],
-        timeouts: Patience = DEFAULT_TIMEOUTS,
+        timeouts: LookupTimeouts = DEFAULT_TIMEOUTS,
         lifetimes: Lifetimes = DEFAULT_LIFETIMES,
         rng: random.Random | None = None,
     ) -> None:
--- a/aspenrill/resolver/lookup.py
+++ b/aspenrill/resolver/lookup.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class LookupTimeouts:
     """Seconds allowed for one question, and for a look-up with all its questions."""
 
     question: float = 1.0
@@ -63,7 +63,9 @@
 LookupSteps = Generator[Question, Outcome, LookupResult]
 
 
-def lookup_steps(now: float, name: dns.Name, kind: int, servers: Servers, timeouts: Patience) -> LookupSteps:
+def lookup_steps(
+    now: float, name: dns.Name, kind: int, servers: Servers, timeouts: LookupTimeouts
+) -> LookupSteps:
     """Look up the records of a kind under a name, following CNAMEs (RFC 1034, 5.3.3)."""
     deadline, seen, ttl = now + timeouts.lookup, [dns.fold_case(name)], float("inf")
     while True:
@@ -113,7 +115,7 @@
     name: dns.Name,
     kind: int,
     servers: Servers,
-    timeouts: Patience,
+    timeouts: LookupTimeouts,
     deadline: float,
 ) -> Generator[Question, Outcome, tuple[dns.Reply, float]]:
     """Send one question to one server after another until one returns a usable answer."""
--- a/aspenrill/roster/bulletin.py
+++ b/aspenrill/roster/bulletin.py
@@ -115,10 +115,10 @@
                     self._publish_leaving(conn, size, number, kind)
                     self.last_event = max(self.last_event, number)
                     continue
-                news = wire.decode_update(number, kind, conn.read(size, deadline))
+                update = wire.decode_update(number, kind, conn.read(size, deadline))
                 first_read_timeout = self.first_read_timeout = READ_TIMEOUT
                 received_any = True
-                if news is None:
+                if update is None:
                     if repeated and self.rechecked_event != self.last_event:
                         # Reconnect once only: some bulletins begin with the requested event.
                         self.rechecked_event = self.last_event
@@ -129,10 +129,10 @@
                         raise Malformed(f"event {number} again")  # the next event may be missing: reconnect
                     repeated = True  # reconnect unless the next event follows
                     continue
-                if number != self.last_event + 1 and not news.complete:
+                if number != self.last_event + 1 and not update.complete:
                     raise Malformed(f"event {number} after {self.last_event}")
                 self.last_event, no_new_event, repeated = number, False, False
-                self.on_update(news)
+                self.on_update(update)
         except TimedOut:
             if not received_any:
                 self.first_read_timeout = SLOW_START_FACTOR * READ_TIMEOUT
--- a/aspenrill/roster/discovery.py
+++ b/aspenrill/roster/discovery.py
@@ -75,8 +75,8 @@
     def bulletin_handler(self, name: str) -> Callable[[EngineListUpdate], None]:
         """Return the handler for bulletin events, which count as reports of the source `name`."""
 
-        def handle(news: EngineListUpdate) -> None:
-            (self.on_list if news.complete else self.on_changes)(name, news.members)
+        def handle(update: EngineListUpdate) -> None:
+            (self.on_list if update.complete else self.on_changes)(name, update.members)
 
         return handle
 
--- a/aspenrill/sources.py
+++ b/aspenrill/sources.py
@@ -17,7 +17,7 @@
 from .membership.tiers import TierRules
 from .reader import Reader, check_unique
 from .resolver.cache import Lifetimes
-from .resolver.lookup import Patience
+from .resolver.lookup import LookupTimeouts
 from .wire import Malformed, dns
 
 SOURCE_TYPES = ("list", "dns-sd", "srv")
@@ -31,7 +31,7 @@
 
     name: str
     servers: tuple[tuple[str, int], ...]
-    timeouts: Patience
+    timeouts: LookupTimeouts
     lifetimes: Lifetimes
 
 
@@ -103,7 +103,7 @@
         max_entries=int(row.number("entries", 8192, 16, 1 << 20)),
     )
     row.reject_unknown_fields()
-    return ResolverSpec(name, tuple(servers), Patience(query_timeout, lookup_timeout), lifetimes)
+    return ResolverSpec(name, tuple(servers), LookupTimeouts(query_timeout, lookup_timeout), lifetimes)
 
 
 def read_service(row: Reader) -> str:
@@ -181,7 +181,7 @@
             row.fault("engine", "expected at least one [[engines.engine]], as source is list")
         return [SourceSpec("engines", "list", MergeSpec("engines"), engines=engines)], []
     server, service = row.address("resolver"), read_service(row)
-    resolver = ResolverSpec("default", (server,), Patience(), Lifetimes())
+    resolver = ResolverSpec("default", (server,), LookupTimeouts(), Lifetimes())
     return [SourceSpec("engines", "dns-sd", MergeSpec("engines", max_shrink=0.5), "default", service)], [
         resolver
     ]
--- a/aspenrill/wire/tds.py
+++ b/aspenrill/wire/tds.py
@@ -265,8 +265,8 @@
         try:
             while self.position < len(self.buffer) and not self.answer.ended:
                 start = self.position
-                kept = self._read_token()
-                if kept:
+                part_of_result = self._read_token()
+                if part_of_result:
                     self.size += self.position - start
                     if self.size > self.max_size:
                         raise Malformed(f"result of over {self.max_size} bytes")
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -25,7 +25,7 @@
 from aspenrill.membership.rules import MergeRules
 from aspenrill.net.hub import Hub
 from aspenrill.resolver.cache import Lifetimes
-from aspenrill.resolver.lookup import Patience
+from aspenrill.resolver.lookup import LookupTimeouts
 from aspenrill.state import Fleet
 from standins.nameserver import AnswerBehaviour, NameServer
 from standins.scenario import run_scenario
@@ -44,7 +44,9 @@
 
 def sources_of(server: NameServer, rules: MergeRules = MergeRules(), **more) -> config.Sources:  # noqa: B008
     """Settings with one SRV source, resolved by this stand-in of a name server."""
-    resolver = config.ResolverSpec("main", (server.address,), more.pop("patience", Patience()), Lifetimes())
+    resolver = config.ResolverSpec(
+        "main", (server.address,), more.pop("timeouts", LookupTimeouts()), Lifetimes()
+    )
     return config.Sources(
         (config.SourceSpec("records", "srv", MergeSpec("records", False, 0.5), "main", SERVICE, **more),),
         (resolver,),
@@ -217,7 +219,10 @@
         began = time.monotonic()
         for index in range(3):
             SourceSetup(
-                hub, sources_of(server, patience=Patience(2.0, 8.0), family="ipv4"), ("std",), post(index)
+                hub,
+                sources_of(server, timeouts=LookupTimeouts(2.0, 8.0), family="ipv4"),
+                ("std",),
+                post(index),
             )
         while min(members_received) < targets:
             hub.sleep(0.05)
--- a/tests/merged.py
+++ b/tests/merged.py
@@ -12,7 +12,7 @@
 from aspenrill.membership.rules import MergeRules
 from aspenrill.membership.tiers import TierRules
 from aspenrill.resolver.cache import Lifetimes
-from aspenrill.resolver.lookup import Patience
+from aspenrill.resolver.lookup import LookupTimeouts
 from standins.nameserver import NameServer
 from standins.world import SETTINGS, World
 
@@ -45,7 +45,7 @@
         self.resolver = config.ResolverSpec(
             "main",
             (self.server.address,),
-            Patience(0.2, 0.5),
+            LookupTimeouts(0.2, 0.5),
             Lifetimes(min_ttl=0.1, refresh_window=(0.5, 0.6)),
         )
         rows = {
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -78,7 +78,7 @@
 
 def test_gap_falls_one_level_per_window():
     g = gateway("a")
-    g.gap_level, g.gap_kept_until, g.now = 4, 100.0, 10.0
+    g.gap_level, g.gap_hold_until, g.now = 4, 100.0, 10.0
     g._update_gap()
     g.now += 0.1
     g._update_gap()
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -13,7 +13,7 @@
 from aspenrill.net.hub import Hub
 from aspenrill.resolver.cache import Cache, Lifetimes, negative_ttl
 from aspenrill.resolver.client import Resolver
-from aspenrill.resolver.lookup import Failed, Patience, follow_aliases, lookup_steps
+from aspenrill.resolver.lookup import Failed, LookupTimeouts, follow_aliases, lookup_steps
 from aspenrill.resolver.servers import MAX_BACK_OFF
 from aspenrill.wire import dns as wire
 from standins.nameserver import AnswerBehaviour, NameServer
@@ -21,7 +21,8 @@
 
 N = wire.parse_name
 NAME = N("_tds._tcp.x.example")
-SHORT_TIMEOUTS = Patience(question=0.3, lookup=2.0)
+TIMEOUTS = LookupTimeouts()  # the defaults
+SHORT_TIMEOUTS = LookupTimeouts(question=0.3, lookup=2.0)
 
 
 # ---- the cache ----------------------------------------------------------------------------------------
@@ -88,13 +89,13 @@
             return 9.0, None
         return 0.01, reply_of(ask, wire.Record(ask.name, wire.A, 5, "127.0.0.1"))
 
-    found, questions, now = run_lookup(lookup_steps(0.0, NAME, wire.A, name_servers, Patience()), world)
+    found, questions, now = run_lookup(lookup_steps(0.0, NAME, wire.A, name_servers, TIMEOUTS), world)
     assert [a[1] for a in questions] == [1, 2] and found.records and now == pytest.approx(1.01)
-    _, questions, _ = run_lookup(lookup_steps(now, NAME, wire.A, name_servers, Patience()), world, now)
+    _, questions, _ = run_lookup(lookup_steps(now, NAME, wire.A, name_servers, TIMEOUTS), world, now)
     assert now < name_servers.all[0].back_off_until and [a[1] for a in questions] == [
         2
     ]  # in back-off: no query waits for it
-    _, questions, _ = run_lookup(lookup_steps(200.0, NAME, wire.A, name_servers, Patience()), world, 200.0)
+    _, questions, _ = run_lookup(lookup_steps(200.0, NAME, wire.A, name_servers, TIMEOUTS), world, 200.0)
     assert [a[1] for a in questions] == [1, 2]
     for _ in range(20):
         name_servers.record_failure(name_servers.all[0], 300.0, "no")
@@ -104,7 +105,7 @@
 def test_a_look_up_is_bounded_whatever_the_outcome_of_its_questions():
     for took in (0.0, 0.4, 9.0):
         found, questions, now = run_lookup(
-            lookup_steps(0.0, NAME, wire.A, servers(), Patience()), lambda n, a, t=took: (t, None)
+            lookup_steps(0.0, NAME, wire.A, servers(), TIMEOUTS), lambda n, a, t=took: (t, None)
         )
         assert isinstance(found, Failed) and now <= 5.0 and len(questions) <= 6
 
@@ -116,14 +117,14 @@
             return 0.01, reply_of(ask, code=code)
         return 0.01, reply_of(ask, wire.Record(ask.name, wire.A, 5, "127.0.0.1"))
 
-    found, questions, _ = run_lookup(lookup_steps(0.0, NAME, wire.A, servers(), Patience()), world)
+    found, questions, _ = run_lookup(lookup_steps(0.0, NAME, wire.A, servers(), TIMEOUTS), world)
     assert found.records and [a[4] for a in questions] == [True, False] and {a[1] for a in questions} == {1}
 
 
 @pytest.mark.parametrize("code", [2, 5])
 def test_codes_2_and_5_are_failures_of_a_server_and_no_empty_list(code):
     found, questions, _ = run_lookup(
-        lookup_steps(0.0, NAME, wire.A, servers(2), Patience()), lambda n, a: (0.01, reply_of(a, code=code))
+        lookup_steps(0.0, NAME, wire.A, servers(2), TIMEOUTS), lambda n, a: (0.01, reply_of(a, code=code))
     )
     assert (
         isinstance(found, Failed)
@@ -135,7 +136,7 @@
 def test_no_such_name_an_empty_answer_and_a_referral_differ():
     soa, ns = wire.Record(N("x.y.z"), wire.SOA, 60, (1, 7)), wire.Record(N("x.y.z"), wire.NS, 60, N("n.s.t"))
     ends = [
-        run_lookup(lookup_steps(0.0, NAME, wire.A, servers(), Patience()), lambda n, a, w=w: (0.01, w(a)))[0]
+        run_lookup(lookup_steps(0.0, NAME, wire.A, servers(), TIMEOUTS), lambda n, a, w=w: (0.01, w(a)))[0]
         for w in (
             lambda a: reply_of(a, code=3, authority=(soa,)),
             lambda a: reply_of(a, authority=(soa,)),
@@ -153,20 +154,19 @@
         "c.x.y.": record("c.x.y", wire.A, "127.0.0.1", 60),
     }
     found, questions, _ = run_lookup(
-        lookup_steps(0.0, N("a.x.y"), wire.A, servers(), Patience()),
+        lookup_steps(0.0, N("a.x.y"), wire.A, servers(), TIMEOUTS),
         lambda n, a: (0.01, reply_of(a, rows[wire.format_name(a.name)])),
     )
     assert [r.data for r in found.records] == ["127.0.0.1"] and found.ttl == 4 and len(questions) == 3
     rows["c.x.y."] = record("c.x.y", wire.CNAME, N("A.x.y"))
     found, _, _ = run_lookup(
-        lookup_steps(0.0, N("a.x.y"), wire.A, servers(), Patience()),
+        lookup_steps(0.0, N("a.x.y"), wire.A, servers(), TIMEOUTS),
         lambda n, a: (0.01, reply_of(a, *rows.values())),
     )
     assert isinstance(found, Failed) and "circle" in str(found)
     chain = [record(f"h{i}.x.y", wire.CNAME, N(f"h{i + 1}.x.y")) for i in range(40)]
     found, _, _ = run_lookup(
-        lookup_steps(0.0, N("h0.x.y"), wire.A, servers(), Patience()),
-        lambda n, a: (0.01, reply_of(a, *chain)),
+        lookup_steps(0.0, N("h0.x.y"), wire.A, servers(), TIMEOUTS), lambda n, a: (0.01, reply_of(a, *chain))
     )
     assert isinstance(found, Failed) and "more than 8" in str(found)
 
@@ -194,7 +194,7 @@
     now, ages, questions = 5.0, [], 0
     while now < 65.0:
         found, asked, now = run_lookup(
-            lookup_steps(now, NAME, wire.SRV, name_servers, Patience()), lambda n, a: (9.0, None), now
+            lookup_steps(now, NAME, wire.SRV, name_servers, TIMEOUTS), lambda n, a: (9.0, None), now
         )
         assert isinstance(found, Failed)
         last = cache.get_last(now, NAME, wire.SRV, str(found))
@@ -204,7 +204,7 @@
         now += 5.0
     assert ages == sorted(ages) and ages[-1] > 55 and questions < 40
     found, asked, _ = run_lookup(
-        lookup_steps(now, NAME, wire.SRV, name_servers, Patience()),
+        lookup_steps(now, NAME, wire.SRV, name_servers, TIMEOUTS),
         lambda n, a: (0.01, reply_of(a, wire.Record(NAME, wire.SRV, 5, (0, 0, 1, N("h.x.y"))))),
         now,
     )
@@ -316,7 +316,7 @@
 
 def test_an_answer_of_64_kb_with_1000_targets_is_read_over_tcp():
     hub, [server], resolver = world()
-    resolver.timeouts = Patience(5.0, 12.0)  # the stand-in takes long to build the answer
+    resolver.timeouts = LookupTimeouts(5.0, 12.0)  # the stand-in takes long to build the answer
     server.put(
         "_tds._tcp.x.example.",
         "SRV",
