--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -196,6 +196,26 @@
     assert ended.returncode == 2 and "NODE_CONFIG: not set" in ended.stderr, ended
 
 
+def test_a_sighup_while_the_interpreter_ends_does_not_change_the_exit_code(tmp_path):
+    # the interpreter takes handlers back to the default as it ends; the signal comes right behind that
+    (tmp_path / "sitecustomize.py").write_text("""
+import os, signal, sys
+class AtTheEnd:
+    def __del__(self, kill=os.kill, process=os.getpid(), number=signal.SIGHUP):
+        kill(process, number)
+sys.at_the_end = AtTheEnd()
+""")
+    env = {name: value for name, value in os.environ.items() if name != "NODE_CONFIG"}
+    ended = subprocess.run(
+        [sys.executable, "-m", "aspenrill"],
+        timeout=WITHIN,
+        capture_output=True,
+        text=True,
+        env=env | {"PYTHONPATH": f"{tmp_path}:{os.getcwd()}"},
+    )
+    assert ended.returncode == 2 and "NODE_CONFIG: not set" in ended.stderr, ended
+
+
 @pytest.mark.parametrize("after", [0.02, 0.04, 0.06, 0.1])
 def test_a_sighup_in_the_first_moments_does_not_end_it(after):
     # before it has its handler, by default, the signal ends the process that deploy/balancer.toml starts
